--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -10,150 +10,154 @@
 	"catkinstep/core/version/fleet"
 )
 
-// Choose returns the server with the least expected time. Servers to which other
-// daemons turn first cost extra, those in other data centres more, and failing ones
-// are rarely asked. Where a near server has a free slot the far ones are not looked
-// at: there are hundreds on large sites, and an answer from afar costs bytes between
-// data centres.
-func (s *Spread) Choose(now time.Time, n Need, servers []fleet.Server) Choice {
-	if len(n.Lost) > 0 {
-		others := n
-		others.Tried, others.Lost = slices.Concat(n.Tried, n.Lost), nil
-		if c := s.Choose(now, others, servers); !c.Refused() {
-			return c
+// Choose returns the server with the lowest cost, which is its expected time plus
+// surcharges for servers that other daemons prefer and for servers in other data
+// centres. Failing servers are rarely chosen. If a local server can serve the request
+// now, remote servers are not considered: large sites have hundreds of them, and a
+// remote answer uses bandwidth between data centres.
+func (b *Balancer) Choose(now time.Time, req Requirements, servers []fleet.Server) Choice {
+	if len(req.LastResort) > 0 {
+		preferred := req
+		preferred.Excluded, preferred.LastResort = slices.Concat(req.Excluded, req.LastResort), nil
+		if choice := b.Choose(now, preferred, servers); !choice.Refused() {
+			return choice
 		}
 	}
-	near := 0
-	for _, v := range servers {
-		if v.DataCentre == n.Near {
-			near++
+	localCount := 0
+	for _, server := range servers {
+		if server.DataCentre == req.LocalDataCentre {
+			localCount++
 		}
 	}
-	best := s.look(now, n, servers, true, near, offer{Choice: Choice{Reason: None, RetryAfter: 4 * retryAtLeast}})
-	if best.Refused() || !best.free {
-		best = s.look(now, n, servers, false, len(servers)-near, best)
+	best := b.bestOf(now, req, servers, true, localCount, candidate{Choice: Choice{Reason: NoServer, RetryAfter: 4 * minRetryAfter}})
+	if best.Refused() || !best.canServeNow {
+		best = b.bestOf(now, req, servers, false, len(servers)-localCount, best)
 	}
 	return best.Choice
 }
 
-// offer is a choice with what it costs, in seconds.
-type offer struct {
+// candidate is a choice with its cost in seconds.
+type candidate struct {
 	Choice
 	cost float64
 }
 
-// look weighs the near or the far servers, of which there are so many, and returns
-// the best of them or the best one so far.
-func (s *Spread) look(now time.Time, n Need, servers []fleet.Server, near bool, count int, best offer) offer {
-	at, loads := -1, usualLoads{spread: s, now: now, need: n}
-	for _, v := range servers {
-		if (v.DataCentre == n.Near) != near {
+// bestOf compares either the local or the remote servers with the best candidate so far,
+// and returns the best of all. The count is the number of servers on the chosen side.
+func (b *Balancer) bestOf(now time.Time, req Requirements, servers []fleet.Server, local bool, count int, best candidate) candidate {
+	position, loads := -1, loadCache{balancer: b, now: now, req: req}
+	for _, server := range servers {
+		if (server.DataCentre == req.LocalDataCentre) != local {
 			continue
 		}
-		at++
-		if v.Draining || tried(n, v.ID) {
+		position++
+		if server.Draining || isExcluded(req, server.ID) {
 			continue
 		}
-		o := s.weigh(now, n, v, loads.of(v.DataCentre))
-		o.cost += s.detour(n, near, subset.Rank(s.limits.NearIndex, s.limits.Near, at, count))
-		if best.Reason == None || better(o, best) {
-			best = o
+		c := b.assess(now, req, server, loads.forDataCentre(server.DataCentre))
+		c.cost += b.preferenceCost(req, local, subset.Rank(b.limits.LocalIndex, b.limits.LocalDaemons, position, count))
+		if best.Reason == NoServer || better(c, best) {
+			best = c
 		}
 	}
 	return best
 }
 
-// detour is what it costs to turn to a server that other daemons turn to first, of
-// which this daemon knows less how busy it is, or to one that is far.
-func (s *Spread) detour(n Need, near bool, rank int) float64 {
-	cost := rankStep * float64(min(rankMost, rank)) * s.usual(n)
-	if !near {
-		cost += farPerKilobyte.Seconds() * s.kind(n).size
+// preferenceCost returns the surcharge for a server that other daemons prefer, since this
+// daemon knows less about its load, and for a server in another data centre.
+func (b *Balancer) preferenceCost(req Requirements, local bool, rank int) float64 {
+	cost := rankCost * float64(min(maxRank, rank)) * b.typicalSeconds(req)
+	if !local {
+		cost += remoteCostPerKB.Seconds() * b.routeStats(req).answerKB
 	}
 	return cost
 }
 
-// Judge decides about the only server that may run a request.
-func (s *Spread) Judge(now time.Time, n Need, v fleet.Server) Choice {
-	o := s.weigh(now, n, v, 0)
-	if o.Reason == Sick {
-		o.Reason = ""
+// Evaluate decides whether to send a request to the only server that may run it. As there
+// is no alternative, a high failure rate is no reason to refuse.
+func (b *Balancer) Evaluate(now time.Time, req Requirements, server fleet.Server) Choice {
+	c := b.assess(now, req, server, 0)
+	if c.Reason == ServerFailing {
+		c.Reason = ""
 	}
-	return o.Choice
+	return c.Choice
 }
 
-// better prefers servers that can be asked, then the cheaper one.
-func better(a, b offer) bool {
+// better reports whether a is preferable to b: accepted before refused, then by lower cost.
+func better(a, b candidate) bool {
 	if a.Refused() != b.Refused() {
 		return !a.Refused()
 	}
 	return a.cost < b.cost
 }
 
-func (s *Spread) weigh(now time.Time, n Need, v fleet.Server, others float64) offer {
-	st := s.server(v)
-	usual := s.usual(n)
-	ahead := s.ahead(now, v.ID, st, others)
-	factor := s.factorOf(now, st, usual)
-	work := usual * factor
-	wait := max(0, (ahead+1-float64(max(1, v.Slots)))/float64(max(1, v.Slots))) * work
-	expected := seconds(work + wait)
-	cost := (work + wait) * (1 + jitter*s.random.Float64()) / (1.001 - st.failing)
-	c := Choice{Server: v, Expected: expected, free: ahead < float64(v.Slots) && factor < freeFactor}
-	busy := ahead >= float64(v.Slots-1) || others >= float64(v.Slots)/2
-	c.Contended = busy && permit.Known(s.limits.Daemons, v.Slots) < 1
-	c.Reason = s.objection(now, n, v, st, expected, ahead)
-	if c.Refused() {
-		c.RetryAfter = s.retryAfter(n, expected)
+// assess estimates the expected time and the cost at a server, given the load that is
+// expected there in the absence of a recent report.
+func (b *Balancer) assess(now time.Time, req Requirements, server fleet.Server, expectedLoad float64) candidate {
+	st := b.stateOf(server)
+	typicalSeconds := b.typicalSeconds(req)
+	load := b.load(now, server.ID, st, expectedLoad)
+	slowdown := b.currentSlowdown(now, st, typicalSeconds)
+	workSeconds := typicalSeconds * slowdown
+	waitSeconds := max(0, (load+1-float64(max(1, server.Slots)))/float64(max(1, server.Slots))) * workSeconds
+	expected := seconds(workSeconds + waitSeconds)
+	cost := (workSeconds + waitSeconds) * (1 + jitter*b.random.Float64()) / (1.001 - st.failureRate)
+	choice := Choice{Server: server, ExpectedTime: expected, canServeNow: load < float64(server.Slots) && slowdown < maxLocalSlowdown}
+	nearlyFull := load >= float64(server.Slots-1) || expectedLoad >= float64(server.Slots)/2
+	choice.Contended = nearlyFull && permit.Known(b.limits.Daemons, server.Slots) < 1
+	choice.Reason = b.refusalReason(now, req, server, st, expected, load)
+	if choice.Refused() {
+		choice.RetryAfter = b.retryAfter(req, expected)
 	}
-	return offer{Choice: c, cost: cost}
+	return candidate{Choice: choice, cost: cost}
 }
 
-// objection says why a server should not be asked now, or nothing.
-func (s *Spread) objection(now time.Time, n Need, v fleet.Server, st *state, expected time.Duration, ahead float64) Reason {
+// refusalReason returns why a request must not be sent to a server now, or "" if it may be.
+func (b *Balancer) refusalReason(now time.Time, req Requirements, server fleet.Server, st *serverState, expected time.Duration, load float64) Reason {
 	switch {
-	case now.Before(st.pause), st.silent && st.own > 0:
-		return Unreached
-	case st.own >= s.connections(n.Service):
-		return Crowded
-	case now.Add(expected / 2).After(n.Deadline):
-		return TooLate
-	case now.Before(st.coldTill) && !st.cold.has(now, s.coldRate(n.Service, v.ID)):
-		return ColdFull
-	case ahead >= float64(v.Slots) && now.Add(expected).After(n.Began.Add(s.patience(n))):
-		return Busy
-	case st.failing > sickShare && s.random.Float64() > trickle:
-		return Sick
+	case now.Before(st.pausedUntil), st.connectFailed && st.inFlight > 0:
+		return ServerUnreachable
+	case st.inFlight >= b.connectionShare(req.Service):
+		return ConnectionLimit
+	case now.Add(expected / 2).After(req.Deadline):
+		return DeadlineTooNear
+	case now.Before(st.coldUntil) && !st.coldBucket.hasToken(now, b.coldRate(req.Service, server.ID)):
+		return ColdServer
+	case load >= float64(server.Slots) && now.Add(expected).After(req.ReceivedAt.Add(b.latencyBudget(req))):
+		return AllBusy
+	case st.failureRate > failingThreshold && b.random.Float64() > probeShare:
+		return ServerFailing
 	}
 	return ""
 }
 
-// patience is how long a request may take in all if it has to wait: within its
-// aim, since what comes late is worth little and holds a slot that another
-// could have used in time. The less urgent kinds give way first.
-func (s *Spread) patience(n Need) time.Duration {
-	share := 0.95 - 0.1*float64(min(n.Priority, 3))
-	return time.Duration(share * float64(n.Aim))
+// latencyBudget returns how long a queued request may take in total. It is less than the
+// aim, since a late answer is worth little and its slot could have served another request
+// in time. Less urgent requests have smaller budgets, so they are refused first.
+func (b *Balancer) latencyBudget(req Requirements) time.Duration {
+	share := 0.95 - 0.1*float64(min(req.Priority, 3))
+	return time.Duration(share * float64(req.Aim))
 }
 
-// retryAfter asks callers to return when the queue has moved on, spread in time.
-func (s *Spread) retryAfter(n Need, expected time.Duration) time.Duration {
-	wait := max(retryAtLeast, min(expected, n.Aim)/3)
-	return time.Duration(float64(wait) * (0.7 + 0.6*s.random.Float64()))
+// retryAfter returns the delay after which a refused caller should retry, by when the queue
+// has moved on. The delay is randomised so that callers do not return together.
+func (b *Balancer) retryAfter(req Requirements, expected time.Duration) time.Duration {
+	wait := max(minRetryAfter, min(expected, req.Aim)/3)
+	return time.Duration(float64(wait) * (0.7 + 0.6*b.random.Float64()))
 }
 
-// connections is this daemon's share of the connections that a server takes;
-// a tenth is left for grants and for connections on their way out.
-func (s *Spread) connections(v config.Service) int {
-	if v.Connections == 0 {
+// connectionShare returns this daemon's share of the connections that a server accepts.
+// A tenth of them is reserved for grants and for connections that are being closed.
+func (b *Balancer) connectionShare(service config.Service) int {
+	if service.Connections == 0 {
 		return 1 << 20
 	}
-	return max(1, v.Connections*9/10/s.limits.Daemons)
+	return max(1, service.Connections*9/10/b.limits.Daemons)
 }
 
-func tried(n Need, id string) bool {
-	for _, t := range n.Tried {
-		if t == id {
+func isExcluded(req Requirements, id string) bool {
+	for _, excluded := range req.Excluded {
+		if excluded == id {
 			return true
 		}
 	}
--- a/core/request/spread/cold.go
+++ b/core/request/spread/cold.go
@@ -8,50 +8,50 @@
 	"catkinstep/core/version/config"
 )
 
-// bucket counts what a cold server got of this daemon. It starts empty: a
-// daemon that was just restarted may have used its share right before.
-type bucket struct {
-	tokens float64
-	at     time.Time
+// tokenBucket limits the requests from this daemon to a cold server. It starts empty,
+// since a daemon may have used its share just before it restarted.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
-// rate is this daemon's share of what a cold server bears. The daemons need not
-// talk: what all of them may send at once and in the second after stays within
-// the bound together.
+// rate is this daemon's share of the request rate allowed at a cold server. The shares are
+// such that the daemons need no coordination: their bursts and their requests in the
+// following second stay within the limit together.
 type rate struct {
 	perSecond float64
 	burst     float64
 }
 
-// coldRate divides the bound among the daemons. In any second they send at most
-// daemons*burst + ColdRate; the bound is ColdRate*ColdFactor + ColdSlack. Where
-// that is less than one request for each daemon, only some of them, other ones
-// for each server, may ask a cold server at all.
-func (s *Spread) coldRate(v config.Service, server string) rate {
-	n := max(1, s.limits.Daemons)
-	over := coldMargin * (v.ColdRate*(s.limits.ColdFactor-1) + s.limits.ColdSlack)
-	entitled := max(1, min(n, int(over)))
-	index := (s.limits.Index + int(xxhash.Sum64String(server)%uint64(n))) % n
-	if index >= entitled {
+// coldRate divides the limit for a cold server among the daemons. In any second they send at
+// most daemons*burst + ColdRate requests; the limit is ColdRate*ColdFactor + ColdSlack. If
+// the burst is less than one request for each daemon, only some daemons may send to a cold
+// server at all, and which ones depends on the server.
+func (b *Balancer) coldRate(service config.Service, serverID string) rate {
+	daemons := max(1, b.limits.Daemons)
+	extra := coldBurstShare * (service.ColdRate*(b.limits.ColdFactor-1) + b.limits.ColdSlack)
+	sharers := max(1, min(daemons, int(extra)))
+	index := (b.limits.Index + int(xxhash.Sum64String(serverID)%uint64(daemons))) % daemons
+	if index >= sharers {
 		return rate{}
 	}
-	return rate{perSecond: v.ColdRate / float64(entitled), burst: max(1, over/float64(n))}
+	return rate{perSecond: service.ColdRate / float64(sharers), burst: max(1, extra/float64(daemons))}
 }
 
-func (b *bucket) has(now time.Time, r rate) bool {
-	b.fill(now, r)
+func (b *tokenBucket) hasToken(now time.Time, r rate) bool {
+	b.refill(now, r)
 	return b.tokens >= 1
 }
 
-func (b *bucket) take(now time.Time, r rate) {
-	b.fill(now, r)
+func (b *tokenBucket) take(now time.Time, r rate) {
+	b.refill(now, r)
 	b.tokens--
 }
 
-func (b *bucket) fill(now time.Time, r rate) {
-	if b.at.IsZero() {
-		b.at = now
+func (b *tokenBucket) refill(now time.Time, r rate) {
+	if b.refilledAt.IsZero() {
+		b.refilledAt = now
 	}
-	b.tokens = min(r.burst, b.tokens+r.perSecond*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(r.burst, b.tokens+r.perSecond*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
--- a/core/request/spread/doc.go
+++ b/core/request/spread/doc.go
@@ -1,15 +1,17 @@
-// Package spread chooses the backend server for a request, and refuses the
-// request at once when none can be expected to answer it in time.
+// Package spread is the load balancer: it chooses the backend server for a
+// request, and refuses the request at once if no server is expected to answer
+// it in time.
 //
-// Each daemon judges by what it measured itself, what servers report with their
-// answers, and what the other daemons of its data centre say they have under
-// way. The expected time at a server is its usual time for the kind of request,
-// and a share of it for each request ahead when all slots are taken.
+// Each daemon decides on its own from three sources: its own measurements, the
+// load that servers report with their answers, and the numbers of requests in
+// flight from the other daemons of its data centre. The expected time at a server
+// is the typical processing time of the route multiplied by the server's slowdown.
+// Once all slots are taken, each request ahead in the queue adds a share of that time.
 //
 // # Usage
 //
-//	choice := s.Choose(now, need, servers)
+//	choice := b.Choose(now, req, servers)
 //	if choice.Refused() { answer 503 with choice.RetryAfter }
-//	s.Begin(now, choice.Server, need)
-//	s.End(now, choice.Server, need, began, outcome)
+//	b.Begin(now, choice.Server, req)
+//	b.End(now, choice.Server, req, beganAt, outcome, report)
 package spread
--- a/core/request/spread/group.go
+++ b/core/request/spread/group.go
@@ -5,82 +5,84 @@
 )
 
 const (
-	// groupLearn is the weight of one report in what servers usually have.
-	groupLearn = 0.2
-	// groupLasts is how long that counts without a report: longer than the queues
-	// take to empty when nothing more is sent.
-	groupLasts = 2 * time.Second
-	// farGuess is how loaded a data centre of which nothing is known is taken to be,
-	// as a part of how loaded this one is: most overloads are everywhere, but one that
-	// is not should be found out by a few requests that would be refused here.
-	farGuess = 0.75
+	// groupLoadWeight is the weight of one report in the mean load of a group.
+	groupLoadWeight = 0.2
+	// groupLoadValidity is the time without reports after which the mean load of a group
+	// counts as zero: longer than the queues take to drain when nothing more is sent.
+	groupLoadValidity = 2 * time.Second
+	// unknownLoadShare is the assumed load of a data centre without reports, as a share of
+	// the local load. Most overloads affect all data centres. It is less than 1 so that a
+	// few requests that would be refused here discover a data centre that is not overloaded.
+	unknownLoadShare = 0.75
 )
 
-// group is the servers of one service in one data centre, among which requests are
-// spread alike.
-type group struct{ service, dataCentre string }
+// serverGroup identifies the servers of one service in one data centre, over which requests
+// are spread evenly.
+type serverGroup struct{ service, dataCentre string }
 
-// groupLoad is how many requests of others the servers of a group have, as the last ones that
-// reported it. When more comes than all of them can run, a daemon that has heard nothing
-// of a server lately would take it for idle, and send it requests that will be late.
+// groupLoad is the mean number of requests from other daemons at a server of a group,
+// averaged over recent reports. Without it, a daemon that has no recent report of a server
+// would assume that the server is idle, and in an overload would send it requests that
+// are answered late.
 type groupLoad struct {
-	mean float64
-	at   time.Time
+	mean      float64
+	updatedAt time.Time
 }
 
-// usualLoads are the usual loads of each data centre for one choice, worked out when
-// they are first asked for: a choice may look at hundreds of servers.
-type usualLoads struct {
-	spread *Spread
-	now    time.Time
-	need   Need
-	known  []usualLoad
+// loadCache holds the expected load of each data centre during one choice, which may
+// consider hundreds of servers. Each load is computed on first use.
+type loadCache struct {
+	balancer *Balancer
+	now      time.Time
+	req      Requirements
+	entries  []cachedLoad
 }
 
-type usualLoad struct {
+type cachedLoad struct {
 	dataCentre string
 	load       float64
 }
 
-func (u *usualLoads) of(dataCentre string) float64 {
-	for _, k := range u.known {
-		if k.dataCentre == dataCentre {
-			return k.load
+func (c *loadCache) forDataCentre(dataCentre string) float64 {
+	for _, e := range c.entries {
+		if e.dataCentre == dataCentre {
+			return e.load
 		}
 	}
-	load := u.spread.usualLoad(u.now, u.need, dataCentre)
-	u.known = append(u.known, usualLoad{dataCentre: dataCentre, load: load})
+	load := c.balancer.expectedLoad(c.now, c.req, dataCentre)
+	c.entries = append(c.entries, cachedLoad{dataCentre: dataCentre, load: load})
 	return load
 }
 
-// usualLoad is how many requests of others a server of a data centre is expected to have
-// of which nothing is known now.
-func (s *Spread) usualLoad(now time.Time, n Need, dataCentre string) float64 {
-	load, known := s.groupLoad(group{service: n.Service.Name, dataCentre: dataCentre}).expected(now)
-	if dataCentre == n.Near || known == 1 {
+// expectedLoad returns the expected number of requests from other daemons at a server of a
+// data centre for which there is no recent report.
+func (b *Balancer) expectedLoad(now time.Time, req Requirements, dataCentre string) float64 {
+	load, confidence := b.groupLoad(serverGroup{service: req.Service.Name, dataCentre: dataCentre}).expected(now)
+	if dataCentre == req.LocalDataCentre || confidence == 1 {
 		return load
 	}
-	near, _ := s.groupLoad(group{service: n.Service.Name, dataCentre: n.Near}).expected(now)
-	return load + (1-known)*farGuess*near
+	localLoad, _ := b.groupLoad(serverGroup{service: req.Service.Name, dataCentre: req.LocalDataCentre}).expected(now)
+	return load + (1-confidence)*unknownLoadShare*localLoad
 }
 
-func (s *Spread) groupLoad(g group) *groupLoad {
-	c := s.groups[g]
-	if c == nil {
-		c = &groupLoad{}
-		s.groups[g] = c
+func (b *Balancer) groupLoad(g serverGroup) *groupLoad {
+	load := b.groupLoads[g]
+	if load == nil {
+		load = &groupLoad{}
+		b.groupLoads[g] = load
 	}
-	return c
+	return load
 }
 
-// add takes in a report.
-func (c *groupLoad) add(now time.Time, requests float64) {
-	c.mean += groupLearn * (requests - c.mean)
-	c.at = now
+// add updates the mean with the load from one report.
+func (g *groupLoad) add(now time.Time, load float64) {
+	g.mean += groupLoadWeight * (load - g.mean)
+	g.updatedAt = now
 }
 
-// expected is what servers of the group have, by how much of that is still known.
-func (c *groupLoad) expected(now time.Time) (load, known float64) {
-	known = max(0, 1-float64(now.Sub(c.at))/float64(groupLasts))
-	return c.mean * known, known
+// expected returns the mean load scaled by its confidence, and that confidence, which
+// decreases from 1 to 0 with the time since the last report.
+func (g *groupLoad) expected(now time.Time) (load, confidence float64) {
+	confidence = max(0, 1-float64(now.Sub(g.updatedAt))/float64(groupLoadValidity))
+	return g.mean * confidence, confidence
 }
--- a/core/request/spread/learn.go
+++ b/core/request/spread/learn.go
@@ -6,109 +6,113 @@
 	"catkinstep/core/version/fleet"
 )
 
-type kind struct {
-	usual float64 // seconds at a server of factor 1, not waiting
-	size  float64 // kilobytes of an answer
-	known int
+// routeStats holds the measurements of a route.
+type routeStats struct {
+	typicalSeconds float64 // processing time at a server with a slowdown of 1, without queueing
+	answerKB       float64 // mean size of an answer
+	answers        int
 }
 
-// Pace is how slow a server was found to be, and how busy.
-type Pace struct {
+// ServerStats is the measured slowdown and load of a server.
+type ServerStats struct {
 	Server string
-	// Factor is the mean of its time over the usual one during so many Answers.
-	Factor  float64
-	Answers int
-	// Heard is how many answers reported its load since the paces were last taken, and
-	// Full how many of these reported that as many requests waited as it has slots.
-	Heard, Full int
+	// Slowdown is the mean processing time relative to a typical server, and Answers is the
+	// number of answers that it is based on.
+	Slowdown float64
+	Answers  int
+	// LoadReports counts the reports of the server's load since the stats were last taken,
+	// and FullReports those of them with at least as many requests waiting as there are
+	// slots. Requests turned away because the server was full count in both.
+	LoadReports, FullReports int
 }
 
-// TakePaces lists the servers that answered since it was last called, in no order, and
-// begins to count anew. For one who knows nothing yet it lists what was learned before as
-// well.
-func (s *Spread) TakePaces(all bool) []Pace {
-	var out []Pace
-	for id, st := range s.servers {
-		p := Pace{Server: id, Answers: st.found, Heard: st.heard, Full: st.full}
+// TakeStats returns the stats gathered since the last call, in no particular order, and
+// resets the counts. With all set, the slowdowns cover earlier answers as well, for a
+// receiver that has no stats yet.
+func (b *Balancer) TakeStats(all bool) []ServerStats {
+	var out []ServerStats
+	for id, st := range b.servers {
+		stats := ServerStats{Server: id, Answers: st.newSlowdowns, LoadReports: st.loadReports, FullReports: st.fullReports}
 		switch {
 		case all:
-			p.Factor, p.Answers = st.factor, st.answers
-		case st.found > 0:
-			p.Factor = st.foundSum / float64(st.found)
+			stats.Slowdown, stats.Answers = st.slowdown, st.slowdownSamples
+		case st.newSlowdowns > 0:
+			stats.Slowdown = st.newSlowdownSum / float64(st.newSlowdowns)
 		}
-		if p.Answers > 0 || p.Heard > 0 {
-			out = append(out, p)
+		if stats.Answers > 0 || stats.LoadReports > 0 {
+			out = append(out, stats)
 		}
-		st.heard, st.full, st.found, st.foundSum = 0, 0, 0, 0
+		st.loadReports, st.fullReports, st.newSlowdowns, st.newSlowdownSum = 0, 0, 0, 0
 	}
 	return out
 }
 
-// Work is the time that a kind of request takes at a server without waiting.
-func (s *Spread) Work(now time.Time, n Need, v fleet.Server) time.Duration {
-	usual := s.usual(n)
-	return seconds(usual * s.factorOf(now, s.server(v), usual))
+// ProcessingTime returns the expected time of a request at a server without queueing.
+func (b *Balancer) ProcessingTime(now time.Time, req Requirements, server fleet.Server) time.Duration {
+	typicalSeconds := b.typicalSeconds(req)
+	return seconds(typicalSeconds * b.currentSlowdown(now, b.stateOf(server), typicalSeconds))
 }
 
-// Patience is how long a kind of request may take in all where others wait as well.
-func (s *Spread) Patience(n Need) time.Duration { return s.patience(n) }
+// LatencyBudget returns how long a request may take in total if it has to queue.
+func (b *Balancer) LatencyBudget(req Requirements) time.Duration { return b.latencyBudget(req) }
 
-// Usual is the time that a kind of request takes at a server of usual speed.
-func (s *Spread) Usual(n Need) time.Duration { return seconds(s.usual(n)) }
+// TypicalTime returns the processing time of a request at a server with a slowdown of 1.
+func (b *Balancer) TypicalTime(req Requirements) time.Duration { return seconds(b.typicalSeconds(req)) }
 
-// factorOf is how slow a server is. A request that is under way for longer than
-// usual counts at once: a server that has just become slow answers nothing that
-// could be learnt from.
-func (s *Spread) factorOf(now time.Time, st *state, usual float64) float64 {
-	f := st.factor
-	if st.slowness.known() {
-		f = st.slowness.expected(now)
+// currentSlowdown returns the expected slowdown of a server. A request that has been in
+// flight for much longer than typical raises it at once, since a server that has become
+// very slow sends no answers from which to update the estimate.
+func (b *Balancer) currentSlowdown(now time.Time, st *serverState, typicalSeconds float64) float64 {
+	estimate := st.slowdown
+	if st.reportedSlowdown.known() {
+		estimate = st.reportedSlowdown.expected(now)
 	}
-	if len(st.running) > 0 && usual > 0 {
-		f = max(f, now.Sub(st.running[0]).Seconds()/usual/2)
+	if len(st.startTimes) > 0 && typicalSeconds > 0 {
+		estimate = max(estimate, now.Sub(st.startTimes[0]).Seconds()/typicalSeconds/2)
 	}
-	return min(slowest, f)
+	return min(maxSlowdown, estimate)
 }
 
-func (s *Spread) learned(n Need, st *state, took time.Duration, r *Report) {
-	if r != nil {
-		k := s.kind(n)
-		k.size += learn * (float64(r.Bytes)/1024 - k.size)
+// recordAnswer updates the route's answer size and typical time, and the server's slowdown.
+func (b *Balancer) recordAnswer(req Requirements, st *serverState, took time.Duration, report *Report) {
+	if report != nil {
+		stats := b.routeStats(req)
+		stats.answerKB += answerWeight * (float64(report.Bytes)/1024 - stats.answerKB)
 	}
-	if r != nil && r.Waiting > 0 {
-		return // it may have waited: that says little of the work itself
+	if report != nil && report.Waiting > 0 {
+		return // The request may have queued, so its time says little about processing.
 	}
-	k := s.kind(n)
+	stats := b.routeStats(req)
 	t := took.Seconds()
-	factor := s.factorAt(st, k, t, r)
-	st.answers = min(st.answers+1, paceMemory)
-	k.known++
-	weight := max(learn/4, 1/float64(k.known+1))
-	k.usual += weight * (t/factor - k.usual)
-	k.usual = max(0.001, k.usual)
+	slowdown := b.slowdownDuring(st, stats, t, report)
+	st.slowdownSamples = min(st.slowdownSamples+1, maxSlowdownSamples)
+	stats.answers++
+	weight := max(answerWeight/4, 1/float64(stats.answers+1))
+	stats.typicalSeconds += weight * (t/slowdown - stats.typicalSeconds)
+	stats.typicalSeconds = max(0.001, stats.typicalSeconds)
 }
 
-// factorAt is how slow the server was while a request ran that took t seconds: by
-// its own report, or as learned from its answers.
-func (s *Spread) factorAt(st *state, k *kind, t float64, r *Report) float64 {
-	if r != nil && r.Pace > 0 {
-		return r.Pace
+// slowdownDuring returns the server's slowdown during a request that took t seconds. It is
+// the reported one if there is one, else an estimate from the times of its answers.
+func (b *Balancer) slowdownDuring(st *serverState, stats *routeStats, t float64, report *Report) float64 {
+	if report != nil && report.Slowdown > 0 {
+		return report.Slowdown
 	}
-	st.factor += learn * (t/k.usual - st.factor)
-	st.factor = max(fastest, min(slowest, st.factor))
-	st.find(st.factor)
-	return st.factor
+	st.slowdown += answerWeight * (t/stats.typicalSeconds - st.slowdown)
+	st.slowdown = max(minSlowdown, min(maxSlowdown, st.slowdown))
+	st.addSlowdown(st.slowdown)
+	return st.slowdown
 }
 
-func (s *Spread) kind(n Need) *kind {
-	k := s.kinds[n.Route]
-	if k == nil {
-		k = &kind{usual: firstGuessShare * n.Aim.Seconds(), size: firstKilobytes}
-		s.kinds[n.Route] = k
+func (b *Balancer) routeStats(req Requirements) *routeStats {
+	stats := b.routes[req.Route]
+	if stats == nil {
+		stats = &routeStats{typicalSeconds: initialTimeShare * req.Aim.Seconds(), answerKB: initialAnswerKB}
+		b.routes[req.Route] = stats
 	}
-	return k
+	return stats
 }
 
-func (s *Spread) usual(n Need) float64 { return s.kind(n).usual }
+func (b *Balancer) typicalSeconds(req Requirements) float64 { return b.routeStats(req).typicalSeconds }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/core/request/spread/main_test.go
+++ b/core/request/spread/main_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// TestMain fixes what rapid draws, so that a run gives the same verdict each
-// time; -rapid.seed on the command line draws others.
+// TestMain sets a fixed seed for rapid so that every run tests the same cases. The flag
+// -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
-		fmt.Fprintln(os.Stderr, "rapid's seed cannot be set:", err)
+		fmt.Fprintln(os.Stderr, "cannot set rapid.seed:", err)
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -3,89 +3,94 @@
 import "time"
 
 const (
-	// firstGuess is taken for the time of a kind of request before the first
-	// answer: about half of the usual aim.
-	firstGuessShare = 0.5
-	// learn is the weight of one answer in the usual times.
-	learn = 0.08
-	// paceMemory is how many answers a server's factor stands for: what the
-	// weights above leave of older ones is little.
-	paceMemory = 25
-	// forget is the weight of one outcome in the share of failures.
-	forget = 0.15
-	// reportFades is how fast a report of a server's load loses its weight: about
-	// the time that a request runs, after which the queue is another one.
-	reportFades = 400 * time.Millisecond
-	// peerLoadLasts is how long another daemon's count of its requests holds: until
-	// the next one should have come, in a data centre of twenty daemons.
-	peerLoadLasts = 2 * reportFades
-	// freeFactor is how slow a near server with a free slot may be for far ones not
-	// to be looked at: servers of one service differ by up to three times.
-	freeFactor = 1.6
-	// slowest and fastest bound a server's factor, so that one odd answer does
-	// not rule it in or out for long.
-	slowest = 25.0
-	fastest = 0.25
-	// farPerKilobyte is the price of an answer from another data centre, as the
-	// time that it must save for each kilobyte: bytes between data centres are
-	// dear, and the way itself takes a millisecond or two only.
-	farPerKilobyte = 100 * time.Millisecond
-	// rankStep is the price of a server for each group of daemons that turns to it
-	// before this one, as a part of the usual time of the request, and rankMost from
-	// which on it is not raised: a server thought to be idle that far away may as well
-	// have a queue of others' requests.
-	rankStep = 0.4
-	rankMost = 3
-	// turnedAwayShare is the part of a request's usual time within which a reset
-	// means that the server took no more, and not that it was lost with the request.
-	turnedAwayShare = 0.1
-	// firstKilobytes is taken for the size of answers before the first.
-	firstKilobytes = 1.0
-	// jitter spreads daemons that know the same over servers that look alike.
+	// initialTimeShare is the assumed typical time of a route before its first answer, as
+	// a share of its aim.
+	initialTimeShare = 0.5
+	// answerWeight is the weight of one answer in a server's slowdown and in the mean answer
+	// size. The least weight in a route's typical time is a quarter of it.
+	answerWeight = 0.08
+	// maxSlowdownSamples is the maximum number of answers that a server's slowdown is
+	// reported to be based on: with the weight above, older ones contribute little.
+	maxSlowdownSamples = 25
+	// outcomeWeight is the weight of one outcome in the failure rate.
+	outcomeWeight = 0.15
+	// reportDecay is the age at which a report of a server's load has half its weight. It is
+	// about the running time of a request, after which the queue has changed.
+	reportDecay = 400 * time.Millisecond
+	// peerLoadValidity is how long another daemon's count of its requests is used: until
+	// the next count is due in a data centre of twenty daemons.
+	peerLoadValidity = 2 * reportDecay
+	// maxLocalSlowdown is the slowdown from which a local server with a free slot no longer
+	// keeps remote servers from being considered. Servers of one service differ in speed by
+	// a factor of up to three.
+	maxLocalSlowdown = 1.6
+	// maxSlowdown and minSlowdown bound a server's slowdown, so that one outlier does not
+	// favour or exclude the server for long.
+	maxSlowdown = 25.0
+	minSlowdown = 0.25
+	// remoteCostPerKB is the time that a remote server must save for each kilobyte of its
+	// answer. It represents the price of traffic between data centres; the network latency
+	// itself is only a millisecond or two.
+	remoteCostPerKB = 100 * time.Millisecond
+	// rankCost is the cost of a server for each group of daemons that prefers it more than
+	// this one does, as a share of the request's typical time. It grows up to maxRank only:
+	// beyond that, a server that looks idle may equally well have a queue of requests from
+	// other daemons.
+	rankCost = 0.4
+	maxRank  = 3
+	// earlyResetShare is the share of a request's typical time within which a connection
+	// reset means that the server accepts no more requests. A later reset means that the
+	// server was lost while it ran the request.
+	earlyResetShare = 0.1
+	// initialAnswerKB is the assumed answer size of a route before its first answer.
+	initialAnswerKB = 1.0
+	// jitter randomises the costs, so that daemons with the same information spread over
+	// servers of about equal cost.
 	jitter = 0.15
-	// sickShare is the share of failures from which a server gets a trickle only.
-	sickShare = 0.35
-	// trickle is how often a sick server is tried, as a share of its requests.
-	trickle = 0.04
-	// refusedPause is how long a server that refuses connections is left alone.
+	// failingThreshold is the failure rate above which a server gets only probe requests.
+	failingThreshold = 0.35
+	// probeShare is the share of requests for which a failing server remains available.
+	probeShare = 0.04
+	// refusedPause is how long no requests are sent to a server that refused a connection.
 	refusedPause = 400 * time.Millisecond
-	// silentPause is how long a server to which no connection could be made is left
-	// alone before one request tries again: each try costs its caller the time that
-	// a connection may take.
-	silentPause = 300 * time.Millisecond
-	// retryAtLeast is the shortest wait that a refusal asks for.
-	retryAtLeast = 60 * time.Millisecond
-	// coldMargin is the part of what a cold server bears beyond its rate that the
-	// daemons' first requests may use up together.
-	coldMargin = 0.75
-	// restartDoubt is how long a server that may have restarted counts as cold
-	// before its entry says so or not.
-	restartDoubt = 3 * time.Second
+	// connectFailedPause is how long no requests are sent to a server after a connection
+	// attempt failed. Then a single request tries again, since each attempt may delay its
+	// caller by the full connection timeout.
+	connectFailedPause = 300 * time.Millisecond
+	// minRetryAfter is the minimum retry delay of a refusal, before it is randomised.
+	minRetryAfter = 60 * time.Millisecond
+	// coldBurstShare is the share of a cold server's limit beyond its steady rate that the
+	// bursts of all daemons may use together.
+	coldBurstShare = 0.75
+	// assumedColdTime is how long a server that may have restarted counts as cold, unless
+	// its entry says how long it is cold.
+	assumedColdTime = 3 * time.Second
 )
 
-// Limits are what the daemons of a site may do to a server together.
+// Limits bound the load that all daemons of a site together may put on a server.
 type Limits struct {
-	// ColdFactor and ColdSlack allow a cold server ColdRate*ColdFactor+ColdSlack
-	// requests in any second.
+	// ColdFactor and ColdSlack limit the requests to a cold server to
+	// ColdRate*ColdFactor+ColdSlack in any second.
 	ColdFactor float64
 	ColdSlack  float64
-	// Daemons is how many daemons there are.
+	// Daemons is the number of daemons of the site.
 	Daemons int
-	// Index is where this daemon stands among them, from 0.
+	// Index is this daemon's position among them, from 0.
 	Index int
-	// Near is how many daemons there are in this one's data centre, and NearIndex where
-	// it stands among them, from 0.
-	Near, NearIndex int
+	// LocalDaemons is the number of daemons in this daemon's data centre, and LocalIndex is
+	// its position among them, from 0.
+	LocalDaemons, LocalIndex int
 }
 
-// WithDaemons returns the limits among another number of daemons.
-func (l Limits) WithDaemons(n, index int) Limits {
-	l.Daemons, l.Index = max(1, n), index
+// WithDaemons returns the limits with another number of daemons and position among them.
+func (l Limits) WithDaemons(count, index int) Limits {
+	l.Daemons, l.Index = max(1, count), index
 	return l
 }
 
-// WithNear returns the limits among another number of daemons of the data centre.
-func (l Limits) WithNear(n, index int) Limits {
-	l.Near, l.NearIndex = n, index
+// WithLocalDaemons returns the limits with another number of daemons in the data centre and
+// position among them.
+func (l Limits) WithLocalDaemons(count, index int) Limits {
+	l.LocalDaemons, l.LocalIndex = count, index
 	return l
 }
--- a/core/request/spread/permits_test.go
+++ b/core/request/spread/permits_test.go
@@ -9,65 +9,68 @@
 	"catkinstep/core/request/permit"
 )
 
-// overloaded plays one data centre of a site with 195 daemons, at so much of what its servers
-// can run, and returns the parts of the requests that are answered in time, and late.
-func overloaded(offered float64, permits *permit.Issuer) (inAim, late float64) {
+// runOverload simulates one data centre of a site with 195 daemons, at loadFactor times the
+// capacity of its servers, and returns the shares of requests answered in time and late.
+func runOverload(loadFactor float64, permits *permit.Issuer) (inTime, late float64) {
 	const capacity = 350
-	p := newPlace(32, 40, 240*time.Millisecond, 660*time.Millisecond)
-	for _, d := range p.daemons {
+	sim := newSimulation(32, 40, 240*time.Millisecond, 660*time.Millisecond)
+	for _, d := range sim.daemons {
 		d.limits.Daemons = 195
 	}
-	p.permits = permits
-	p.run(offered*capacity, 40*time.Second)
-	return float64(p.inAim) / float64(p.asked), float64(p.late) / float64(p.asked)
+	sim.permits = permits
+	sim.run(loadFactor*capacity, 40*time.Second)
+	return float64(sim.inTime) / float64(sim.offered), float64(sim.late) / float64(sim.offered)
 }
 
-// Guards against requests that wait in queues which no daemon knows, while all slots are taken.
-func TestPermitsInAnOverload(t *testing.T) {
-	const more, nearly = 1.1, 0.02
-	for _, offered := range []float64{0.5, 0.8, 1.2, 1.5} {
-		Convey("More is answered in time, and as much where there is no overload", t, func() {
-			without, lateWithout := overloaded(offered, nil)
-			with, lateWith := overloaded(offered, permit.NewIssuer(1))
-			t.Logf("offered %.1f: in time %.3f, late %.3f; with permits %.3f, %.3f", offered, without, lateWithout, with, lateWith)
-			So(with, ShouldBeGreaterThan, without-nearly)
-			if offered > 1 {
-				So(with, ShouldBeGreaterThan, more*without)
+// Guards against late answers in an overload, when no daemon knows the length of the queues in
+// which its requests wait.
+func TestPermitsUnderOverload(t *testing.T) {
+	const minGain, tolerance = 1.1, 0.02
+	for _, loadFactor := range []float64{0.5, 0.8, 1.2, 1.5} {
+		Convey("Permits raise the share answered in time in an overload, and do not lower it otherwise", t, func() {
+			without, lateWithout := runOverload(loadFactor, nil)
+			with, lateWith := runOverload(loadFactor, permit.NewIssuer(1))
+			t.Logf("offered %.1f: in time %.3f, late %.3f; with permits %.3f, %.3f", loadFactor, without, lateWithout, with, lateWith)
+			So(with, ShouldBeGreaterThan, without-tolerance)
+			if loadFactor > 1 {
+				So(with, ShouldBeGreaterThan, minGain*without)
 				So(lateWith, ShouldBeLessThan, lateWithout)
 			}
 		})
 	}
 }
 
-// Guards against servers that are refused by a guess, and permits that few daemons do not need.
-func TestContended(t *testing.T) {
-	busy := func(daemons int) Choice {
-		s, vs := New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons}), servers(2)
+// Guards against refusals by an unreliable estimate of the queue, and against permits that a
+// few daemons do not need.
+func TestContendedDependsOnDaemonCount(t *testing.T) {
+	choose := func(daemons int) Choice {
+		b, list := New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons}), servers(2)
 		for i := range 8 {
 			now := t0.Add(time.Duration(i) * time.Millisecond)
-			s.Begin(now, vs[0], need(now))
-			s.End(now, vs[0], need(now), now, Answered, &Report{Running: 4, Waiting: 6, Slots: 4})
+			b.Begin(now, list[0], requirements(now))
+			b.End(now, list[0], requirements(now), now, Answered, &Report{Running: 4, Waiting: 6, Slots: 4})
 		}
-		return s.Choose(t0.Add(time.Second), need(t0.Add(time.Second)), vs)
+		return b.Choose(t0.Add(time.Second), requirements(t0.Add(time.Second)), list)
 	}
-	Convey("A queue that many daemons fill may be another one than this daemon thinks", t, func() {
-		So(busy(195).Contended, ShouldBeTrue)
-		So(busy(2).Contended, ShouldBeFalse)
+	Convey("A server is contended if many daemons fill its queue, since each one's estimate is unreliable", t, func() {
+		So(choose(195).Contended, ShouldBeTrue)
+		So(choose(2).Contended, ShouldBeFalse)
 	})
-	Convey("Only a refusal for a queue is doubtful", t, func() {
-		So(Choice{Reason: Busy, Contended: true}.Doubtful(), ShouldBeTrue)
-		So(Choice{Reason: Busy}.Doubtful(), ShouldBeFalse)
-		So(Choice{Reason: ColdFull, Contended: true}.Doubtful(), ShouldBeFalse)
+	Convey("Only a refusal because of a queue is uncertain", t, func() {
+		So(Choice{Reason: AllBusy, Contended: true}.RefusalUncertain(), ShouldBeTrue)
+		So(Choice{Reason: AllBusy}.RefusalUncertain(), ShouldBeFalse)
+		So(Choice{Reason: ColdServer, Contended: true}.RefusalUncertain(), ShouldBeFalse)
 	})
 }
 
-// Guards against a holder that the leader takes for idle, since all its requests are refused without being sent.
-func TestRefusedPermitsTellOfTheQueue(t *testing.T) {
-	Convey("A server that gave no permit counts as full, and has nothing under way", t, func() {
-		s, v := fresh(), servers(1)[0]
-		s.Begin(t0, v, need(t0))
-		s.End(t0, v, need(t0), t0, NotPermitted, nil)
-		So(s.TakePaces(false), ShouldResemble, []Pace{{Server: "s0", Heard: 1, Full: 1}})
-		So(s.Own(), ShouldBeEmpty)
+// Guards against a key holder that looks idle to the leader because all its requests are
+// denied permits and never sent.
+func TestDeniedPermitCountsAsFullServer(t *testing.T) {
+	Convey("A server without a permit counts as full and has no requests in flight", t, func() {
+		b, server := newBalancer(), servers(1)[0]
+		b.Begin(t0, server, requirements(t0))
+		b.End(t0, server, requirements(t0), t0, PermitDenied, nil)
+		So(b.TakeStats(false), ShouldResemble, []ServerStats{{Server: "s0", LoadReports: 1, FullReports: 1}})
+		So(b.OwnLoad(), ShouldBeEmpty)
 	})
 }
--- /dev/null
+++ b/core/request/spread/requirements.go
@@ -0,0 +1,92 @@
+package spread
+
+import (
+	"time"
+
+	"catkinstep/core/version/config"
+	"catkinstep/core/version/fleet"
+)
+
+// Requirements describes what a request requires of a server.
+type Requirements struct {
+	// Route is the name of the request's route.
+	Route   string
+	Service config.Service
+	// Aim is the latency within which the request should be answered.
+	Aim time.Duration
+	// Priority is lower for more urgent requests.
+	Priority int
+	// ReceivedAt is when the request arrived from its caller, Deadline when it times out.
+	ReceivedAt time.Time
+	Deadline   time.Time
+	// LocalDataCentre is the data centre of this daemon.
+	LocalDataCentre string
+	// Excluded lists the ids of servers that must not be chosen.
+	Excluded []string
+	// LastResort lists the ids of servers whose connection broke while they ran the same
+	// request. They are chosen only if no other server can be: a request that crashed a
+	// server is likely to crash it again.
+	LastResort []string
+}
+
+// Reason is the reason why a request is refused; "" means that it is not.
+type Reason string
+
+// Reasons for refusals.
+const (
+	NoServer        Reason = "none"       // no server is available
+	AllBusy         Reason = "allBusy"    // the queues are too long to answer in time
+	ColdServer      Reason = "coldServer" // the request rate allowed at a cold server is used up
+	ConnectionLimit Reason = "connections"
+	DeadlineTooNear Reason = "deadlineTooNear"
+	ServerFailing   Reason = "serverFailing"
+	// ServerUnreachable means that the last connection attempt failed, and that the next
+	// one is not due yet or still in progress.
+	ServerUnreachable Reason = "serverUnreachable"
+)
+
+// Choice is the chosen server, or the reason for a refusal.
+type Choice struct {
+	Server       fleet.Server
+	ExpectedTime time.Duration
+	Reason       Reason
+	RetryAfter   time.Duration
+	// Contended means that the server or its group seems nearly full, but that so many
+	// daemons send requests there that this daemon's estimate is unreliable.
+	Contended bool
+	// canServeNow means that the server seems to have a free slot and is not much slower
+	// than usual.
+	canServeNow bool
+}
+
+// Refused reports whether the request must not be sent.
+func (c Choice) Refused() bool { return c.Reason != "" }
+
+// RefusalUncertain reports whether the refusal is due to a queue whose length this daemon
+// cannot estimate reliably.
+func (c Choice) RefusalUncertain() bool { return c.Reason == AllBusy && c.Contended }
+
+// Outcome is how an attempt ended.
+type Outcome int
+
+// Outcomes of an attempt.
+const (
+	Answered          Outcome = iota
+	Failed                    // a server error, an incomplete answer, or none
+	ConnectionReset           // a new connection was reset before an answer
+	PermitDenied              // not sent, since requests of other daemons fill the queue
+	Shed                      // the server declined to run the request
+	ConnectionRefused         // the address refused the connection
+	ConnectFailed             // no connection was made in time
+	Cancelled                 // ended by this daemon; says nothing about the server
+)
+
+// Report is the state that a server reports with an answer.
+type Report struct {
+	Running, Waiting, Slots int
+	// Bytes is the size of the answer's body.
+	Bytes int
+	// Slowdown is the server's current processing time relative to a server of typical
+	// speed; 0 if it is not reported.
+	Slowdown float64
+}
--- a/core/request/spread/spread.go
+++ b/core/request/spread/spread.go
@@ -7,160 +7,171 @@
 	"catkinstep/core/version/fleet"
 )
 
-type state struct {
-	own      int
-	running  []time.Time
-	reported float64 // running and waiting of others than this daemon
-	at       time.Time
-	factor   float64 // its time over the usual one
-	answers  int     // that the factor was learnt from
-	slowness slowness
-	failing  float64
-	pause    time.Time
-	silent   bool // no connection could be made since the last answer
-	cold     bucket
-	born     int64
-	coldTill time.Time
-	// heard and full count the answers that reported the load, and a long queue,
-	// since the paces were last taken.
-	heard, full int
-	// found is how often the server's factor was found since then, and foundSum their sum.
-	found    int
-	foundSum float64
+// serverState holds what this daemon knows about one server.
+type serverState struct {
+	inFlight         int         // requests from this daemon
+	startTimes       []time.Time // of the requests in flight
+	reportedLoad     float64     // requests from other daemons, running and waiting
+	reportedAt       time.Time
+	slowdown         float64 // processing time relative to a typical server
+	slowdownSamples  int     // number of answers behind slowdown, at most maxSlowdownSamples
+	reportedSlowdown reportedSlowdown
+	failureRate      float64
+	pausedUntil      time.Time
+	connectFailed    bool // a connection attempt failed, and no answer came since
+	coldBucket       tokenBucket
+	born             int64 // tells restarts of the server apart
+	coldUntil        time.Time
+	// loadReports counts the reports of the server's load since the stats were last taken,
+	// and fullReports those of them with a long queue.
+	loadReports, fullReports int
+	// newSlowdowns counts the measurements of the slowdown since then, and newSlowdownSum is
+	// their sum.
+	newSlowdowns   int
+	newSlowdownSum float64
 }
 
-// find notes the server's factor during one answer.
-func (st *state) find(factor float64) {
-	st.found++
-	st.foundSum += factor
+// addSlowdown adds the server's slowdown during one answer to the stats.
+func (st *serverState) addSlowdown(slowdown float64) {
+	st.newSlowdowns++
+	st.newSlowdownSum += slowdown
 }
 
-// Spread holds what this daemon measured. It is not safe for concurrent use.
-type Spread struct {
-	random  *rand.Rand
-	limits  Limits
-	kinds   map[string]*kind
-	servers map[string]*state
-	peers   map[string]peerLoad // by daemon
-	groups  map[group]*groupLoad
+// Balancer chooses servers by the load and the speed that this daemon knows of. It is not
+// safe for concurrent use.
+type Balancer struct {
+	random     *rand.Rand
+	limits     Limits
+	routes     map[string]*routeStats
+	servers    map[string]*serverState
+	peers      map[string]peerLoad // by daemon
+	groupLoads map[serverGroup]*groupLoad
 }
 
-// New returns a Spread that has measured nothing.
-func New(seed uint64, l Limits) *Spread {
-	return &Spread{random: rand.New(rand.NewPCG(seed, 11)), limits: l, kinds: map[string]*kind{}, servers: map[string]*state{}, peers: map[string]peerLoad{}, groups: map[group]*groupLoad{}}
+// New returns a Balancer without any measurements.
+func New(seed uint64, l Limits) *Balancer {
+	return &Balancer{random: rand.New(rand.NewPCG(seed, 11)), limits: l, routes: map[string]*routeStats{}, servers: map[string]*serverState{}, peers: map[string]peerLoad{}, groupLoads: map[serverGroup]*groupLoad{}}
 }
 
-// Limit follows a change of the number of daemons.
-func (s *Spread) Limit(l Limits) { s.limits = l }
+// SetLimits replaces the limits, for example when the number of daemons changes.
+func (b *Balancer) SetLimits(l Limits) { b.limits = l }
 
-// Begin notes a request under way to a server.
-func (s *Spread) Begin(now time.Time, v fleet.Server, n Need) {
-	st := s.server(v)
-	st.own++
-	st.running = append(st.running, now)
-	if now.Before(st.coldTill) {
-		st.cold.take(now, s.coldRate(n.Service, v.ID))
+// Begin records that a request is being sent to a server.
+func (b *Balancer) Begin(now time.Time, server fleet.Server, req Requirements) {
+	st := b.stateOf(server)
+	st.inFlight++
+	st.startTimes = append(st.startTimes, now)
+	if now.Before(st.coldUntil) {
+		st.coldBucket.take(now, b.coldRate(req.Service, server.ID))
 	}
 }
 
-// End notes how a request that began at a time ended.
-func (s *Spread) End(now time.Time, v fleet.Server, n Need, began time.Time, o Outcome, r *Report) {
-	st := s.server(v)
-	st.own--
-	st.running = without(st.running, began)
-	if o == Answered || o == Shed {
-		st.silent = false
+// End records the outcome of a request that began at beganAt, and what the server reported
+// with its answer; report is nil if there is none.
+func (b *Balancer) End(now time.Time, server fleet.Server, req Requirements, beganAt time.Time, outcome Outcome, report *Report) {
+	st := b.stateOf(server)
+	st.inFlight--
+	st.startTimes = removeTime(st.startTimes, beganAt)
+	if outcome == Answered || outcome == Shed {
+		st.connectFailed = false
 	}
-	if r != nil {
-		st.reported = max(0, float64(r.Running+r.Waiting-st.own-1))
-		st.at = now
-		s.groupLoad(group{service: v.Service, dataCentre: v.DataCentre}).add(now, st.reported)
-		if o != Shed {
-			st.heard++
-			if r.Waiting >= r.Slots {
-				st.full++
+	if report != nil {
+		st.reportedLoad = max(0, float64(report.Running+report.Waiting-st.inFlight-1))
+		st.reportedAt = now
+		b.groupLoad(serverGroup{service: server.Service, dataCentre: server.DataCentre}).add(now, st.reportedLoad)
+		if outcome != Shed {
+			st.loadReports++
+			if report.Waiting >= report.Slots {
+				st.fullReports++
 			}
 		}
-		if r.Pace > 0 {
-			st.slowness.add(now, r.Pace)
-			st.factor = st.slowness.lasting
-			st.find(r.Pace)
+		if report.Slowdown > 0 {
+			st.reportedSlowdown.add(now, report.Slowdown)
+			st.slowdown = st.reportedSlowdown.longTerm
+			st.addSlowdown(report.Slowdown)
 		}
 	}
-	switch o {
+	switch outcome {
 	case Answered:
-		st.failing *= 1 - forget
-		s.learned(n, st, now.Sub(began), r)
-	case TurnedAway:
-		if k := s.kind(n); k.known > 0 && now.Sub(began).Seconds() < turnedAwayShare*k.usual {
-			// Servers with long queues reset connections. Sent again there at once,
-			// the request would only be reset once more.
-			st.tookNoMore(now, 2*v.Slots)
+		st.failureRate *= 1 - outcomeWeight
+		b.recordAnswer(req, st, now.Sub(beganAt), report)
+	case ConnectionReset:
+		if stats := b.routeStats(req); stats.answers > 0 && now.Sub(beganAt).Seconds() < earlyResetShare*stats.typicalSeconds {
+			// Servers with long queues reset new connections. A retry at the same
+			// server would be reset again.
+			st.markFull(now, 2*server.Slots)
 		}
-		st.failing += forget * (1 - st.failing)
+		st.failureRate += outcomeWeight * (1 - st.failureRate)
 	case Failed:
-		st.failing += forget * (1 - st.failing)
+		st.failureRate += outcomeWeight * (1 - st.failureRate)
 	case Shed:
-		if r == nil || r.Running >= r.Slots {
-			st.tookNoMore(now, v.Slots)
+		if report == nil || report.Running >= report.Slots {
+			st.markFull(now, server.Slots)
 		}
-		st.failing += forget / 3 * (1 - st.failing)
-	case NotPermitted:
-		st.tookNoMore(now, 2*v.Slots)
-	case Unreachable:
-		st.pause = now.Add(refusedPause)
-		st.coldTill = now.Add(refusedPause + restartDoubt)
-	case Silent:
-		st.silent, st.pause = true, now.Add(silentPause)
-		st.failing += forget * (1 - st.failing)
-	case CalledOff:
+		st.failureRate += outcomeWeight / 3 * (1 - st.failureRate)
+	case PermitDenied:
+		st.markFull(now, 2*server.Slots)
+	case ConnectionRefused:
+		st.pausedUntil = now.Add(refusedPause)
+		st.coldUntil = now.Add(refusedPause + assumedColdTime)
+	case ConnectFailed:
+		st.connectFailed, st.pausedUntil = true, now.Add(connectFailedPause)
+		st.failureRate += outcomeWeight * (1 - st.failureRate)
+	case Cancelled:
 	}
 }
 
-// tookNoMore notes that a server turned a request away, and so has at least so many.
-func (st *state) tookNoMore(now time.Time, requests int) {
-	st.heard++
-	st.full++
-	st.reported, st.at = max(st.reported, float64(requests)), now
+// markFull records that a request was turned away from a server, which therefore has at
+// least the given load.
+func (st *serverState) markFull(now time.Time, load int) {
+	st.loadReports++
+	st.fullReports++
+	st.reportedLoad, st.reportedAt = max(st.reportedLoad, float64(load)), now
 }
 
-// SetCold takes in how long a server says that it stays cold.
-func (s *Spread) SetCold(now time.Time, v fleet.Server) {
-	st := s.server(v)
-	st.coldTill = now.Add(v.Cold)
+// SetCold sets how long a server stays cold, as its entry reports.
+func (b *Balancer) SetCold(now time.Time, server fleet.Server) {
+	st := b.stateOf(server)
+	st.coldUntil = now.Add(server.Cold)
 }
 
-// AssumeCold takes a server for cold until its entry tells or a time has passed.
-func (s *Spread) AssumeCold(v fleet.Server, until time.Time) { s.server(v).coldTill = until }
+// AssumeCold treats a server as cold until the given time, or until SetCold is called.
+func (b *Balancer) AssumeCold(server fleet.Server, until time.Time) {
+	b.stateOf(server).coldUntil = until
+}
 
-func (s *Spread) server(v fleet.Server) *state {
-	st := s.servers[v.ID]
-	if st == nil || st.born != v.Born {
-		own := 0
-		var running []time.Time
+// stateOf returns the state of a server. A restarted server gets a new state, which keeps
+// the requests in flight since their ends are still to be recorded.
+func (b *Balancer) stateOf(server fleet.Server) *serverState {
+	st := b.servers[server.ID]
+	if st == nil || st.born != server.Born {
+		inFlight := 0
+		var startTimes []time.Time
 		if st != nil {
-			own, running = st.own, st.running
+			inFlight, startTimes = st.inFlight, st.startTimes
 		}
-		st = &state{factor: 1, born: v.Born, own: own, running: running}
-		s.servers[v.ID] = st
+		st = &serverState{slowdown: 1, born: server.Born, inFlight: inFlight, startTimes: startTimes}
+		b.servers[server.ID] = st
 	}
 	return st
 }
 
-// Keep forgets servers that are no longer in the list.
-func (s *Spread) Keep(f *fleet.Fleet) {
-	for id, st := range s.servers {
-		if _, ok := f.Find(id); !ok && st.own == 0 {
-			delete(s.servers, id)
+// Prune removes the state of servers that are no longer in the fleet and have no requests in
+// flight from this daemon.
+func (b *Balancer) Prune(f *fleet.Fleet) {
+	for id, st := range b.servers {
+		if _, ok := f.Find(id); !ok && st.inFlight == 0 {
+			delete(b.servers, id)
 		}
 	}
 }
 
-func without(ts []time.Time, t time.Time) []time.Time {
-	for i := range ts {
-		if ts[i].Equal(t) {
-			return append(ts[:i], ts[i+1:]...)
+// removeTime removes the first element equal to t, in place.
+func removeTime(times []time.Time, t time.Time) []time.Time {
+	for i := range times {
+		if times[i].Equal(t) {
+			return append(times[:i], times[i+1:]...)
 		}
 	}
-	return ts
+	return times
 }
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -24,194 +24,197 @@
 	return out
 }
 
-func need(now time.Time) Need {
-	return Need{Route: "r", Service: service, Aim: 400 * time.Millisecond, Priority: 1, Began: now, Deadline: now.Add(time.Second), Near: "x"}
+func requirements(now time.Time) Requirements {
+	return Requirements{Route: "r", Service: service, Aim: 400 * time.Millisecond, Priority: 1, ReceivedAt: now, Deadline: now.Add(time.Second), LocalDataCentre: "x"}
 }
 
-func fresh() *Spread { return New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: 2}) }
+func newBalancer() *Balancer { return New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: 2}) }
 
-// answer plays a request that takes so long at a server.
-func answer(s *Spread, now time.Time, v fleet.Server, took time.Duration, o Outcome) {
-	n := need(now)
-	s.Begin(now, v, n)
-	s.End(now.Add(took), v, n, now, o, nil)
+// runRequest records a request to a server, which takes the given time and has no report.
+func runRequest(b *Balancer, now time.Time, server fleet.Server, took time.Duration, outcome Outcome) {
+	req := requirements(now)
+	b.Begin(now, server, req)
+	b.End(now.Add(took), server, req, now, outcome, nil)
 }
 
-// Guards against callers that wait at a hanging server, of which no average learns.
-func TestHangingServerIsLeft(t *testing.T) {
-	Convey("What is under way for long makes a server the last choice", t, func() {
-		s, vs := fresh(), servers(2)
+// Guards against sending requests to a server that hangs: without answers, its averages do not
+// change.
+func TestHangingServerIsAvoided(t *testing.T) {
+	Convey("A server with a request in flight for long is not chosen", t, func() {
+		b, list := newBalancer(), servers(2)
 		for i := range 20 {
-			answer(s, t0.Add(time.Duration(i)*time.Second), vs[i%2], 100*time.Millisecond, Answered)
+			runRequest(b, t0.Add(time.Duration(i)*time.Second), list[i%2], 100*time.Millisecond, Answered)
 		}
 		now := t0.Add(time.Minute)
-		s.Begin(now, vs[0], need(now))
+		b.Begin(now, list[0], requirements(now))
 		now = now.Add(2 * time.Second)
 		for range 20 {
-			So(s.Choose(now, need(now), vs).Server.ID, ShouldEqual, "s1")
+			So(b.Choose(now, requirements(now), list).Server.ID, ShouldEqual, "s1")
 		}
 	})
 }
 
 func TestChoose(t *testing.T) {
-	Convey("Requests go to the emptier server", t, func() {
-		s, vs := fresh(), servers(2)
+	Convey("The server with fewer requests in flight is chosen", t, func() {
+		b, list := newBalancer(), servers(2)
 		for range 8 {
-			s.Begin(t0, vs[0], need(t0))
+			b.Begin(t0, list[0], requirements(t0))
 		}
-		So(s.Choose(t0, need(t0), vs).Server.ID, ShouldEqual, "s1")
+		So(b.Choose(t0, requirements(t0), list).Server.ID, ShouldEqual, "s1")
 	})
-	Convey("What other daemons have under way counts", t, func() {
-		s, vs := fresh(), servers(2)
-		s.SetPeer(t0, "d2", map[string]int{"s0": 9})
-		So(s.Choose(t0, need(t0), vs).Server.ID, ShouldEqual, "s1")
+	Convey("Requests in flight from other daemons count", t, func() {
+		b, list := newBalancer(), servers(2)
+		b.SetPeerLoad(t0, "d2", map[string]int{"s0": 9})
+		So(b.Choose(t0, requirements(t0), list).Server.ID, ShouldEqual, "s1")
 	})
-	Convey("Another data centre is chosen only when waiting here costs more", t, func() {
-		s, vs := fresh(), servers(2)
-		vs[1].DataCentre = "y"
-		So(s.Choose(t0, need(t0), vs).Server.ID, ShouldEqual, "s0")
+	Convey("A server in another data centre is chosen only if waiting for a local one costs more", t, func() {
+		b, list := newBalancer(), servers(2)
+		list[1].DataCentre = "y"
+		So(b.Choose(t0, requirements(t0), list).Server.ID, ShouldEqual, "s0")
 		for range 12 {
-			s.Begin(t0, vs[0], need(t0))
+			b.Begin(t0, list[0], requirements(t0))
 		}
-		So(s.Choose(t0, need(t0), vs).Server.ID, ShouldEqual, "s1")
+		So(b.Choose(t0, requirements(t0), list).Server.ID, ShouldEqual, "s1")
 	})
-	Convey("Draining servers and those already tried are no choice", t, func() {
-		s, vs := fresh(), servers(2)
-		vs[0].Draining = true
-		n := need(t0)
-		n.Tried = []string{"s1"}
-		c := s.Choose(t0, n, vs)
-		So(c.Reason, ShouldEqual, None)
+	Convey("Draining and excluded servers are not chosen", t, func() {
+		b, list := newBalancer(), servers(2)
+		list[0].Draining = true
+		req := requirements(t0)
+		req.Excluded = []string{"s1"}
+		c := b.Choose(t0, req, list)
+		So(c.Reason, ShouldEqual, NoServer)
 		So(c.RetryAfter, ShouldBeGreaterThan, 0)
 	})
-	Convey("A failing server gets a trickle, by which its recovery shows", t, func() {
-		s, vs := fresh(), servers(1)
+	Convey("A failing server gets a few probe requests, which show when it has recovered", t, func() {
+		b, list := newBalancer(), servers(1)
 		for i := range 10 {
-			answer(s, t0.Add(time.Duration(i)*time.Millisecond), vs[0], time.Millisecond, Failed)
+			runRequest(b, t0.Add(time.Duration(i)*time.Millisecond), list[0], time.Millisecond, Failed)
 		}
-		tried := 0
+		accepted := 0
 		for range 1000 {
-			if !s.Choose(t0.Add(time.Second), need(t0.Add(time.Second)), vs).Refused() {
-				tried++
+			if !b.Choose(t0.Add(time.Second), requirements(t0.Add(time.Second)), list).Refused() {
+				accepted++
 			}
 		}
-		So(tried, ShouldBeBetween, 5, 120)
+		So(accepted, ShouldBeBetween, 5, 120)
 	})
-	Convey("A server that refuses connections is left alone, then taken for cold", t, func() {
-		s, vs := fresh(), servers(1)
-		answer(s, t0, vs[0], time.Millisecond, Unreachable)
-		So(s.Choose(t0.Add(100*time.Millisecond), need(t0), vs).Reason, ShouldEqual, Unreached)
+	Convey("A server that refuses connections gets no requests for a while, then counts as cold", t, func() {
+		b, list := newBalancer(), servers(1)
+		runRequest(b, t0, list[0], time.Millisecond, ConnectionRefused)
+		So(b.Choose(t0.Add(100*time.Millisecond), requirements(t0), list).Reason, ShouldEqual, ServerUnreachable)
 		now := t0.Add(refusedPause + 10*time.Millisecond)
-		So(s.Choose(now, need(now), vs).Reason, ShouldEqual, ColdFull)
-		s.SetCold(now, vs[0])
-		So(s.Choose(now, need(now), vs).Refused(), ShouldBeFalse)
+		So(b.Choose(now, requirements(now), list).Reason, ShouldEqual, ColdServer)
+		b.SetCold(now, list[0])
+		So(b.Choose(now, requirements(now), list).Refused(), ShouldBeFalse)
 	})
 }
 
-// Guards against callers that each wait for a connection to the same server in vain.
-func TestServerOutOfReach(t *testing.T) {
-	start := func() (*Spread, fleet.Server) {
-		s, v := fresh(), servers(1)[0]
-		answer(s, t0, v, 300*time.Millisecond, Silent)
-		return s, v
+// Guards against many callers that each wait for a connection to the same unreachable server.
+func TestUnreachableServerIsRetriedByOneRequest(t *testing.T) {
+	start := func() (*Balancer, fleet.Server) {
+		b, server := newBalancer(), servers(1)[0]
+		runRequest(b, t0, server, 300*time.Millisecond, ConnectFailed)
+		return b, server
 	}
 	Convey("The next requests are refused at once", t, func() {
-		s, v := start()
+		b, server := start()
 		now := t0.Add(300 * time.Millisecond)
-		So(s.Judge(now, need(now), v).Reason, ShouldEqual, Unreached)
+		So(b.Evaluate(now, requirements(now), server).Reason, ShouldEqual, ServerUnreachable)
 	})
-	Convey("After a while one request at a time tries again", t, func() {
-		s, v := start()
-		now := t0.Add(300*time.Millisecond + silentPause)
-		So(s.Judge(now, need(now), v).Refused(), ShouldBeFalse)
-		s.Begin(now, v, need(now))
-		So(s.Judge(now, need(now), v).Reason, ShouldEqual, Unreached)
+	Convey("After the pause one request at a time tries to connect", t, func() {
+		b, server := start()
+		now := t0.Add(300*time.Millisecond + connectFailedPause)
+		So(b.Evaluate(now, requirements(now), server).Refused(), ShouldBeFalse)
+		b.Begin(now, server, requirements(now))
+		So(b.Evaluate(now, requirements(now), server).Reason, ShouldEqual, ServerUnreachable)
 	})
-	Convey("An answer ends that", t, func() {
-		s, v := start()
-		now := t0.Add(300*time.Millisecond + silentPause)
-		answer(s, now, v, time.Millisecond, Answered)
-		s.Begin(now, v, need(now))
-		So(s.Judge(now, need(now), v).Refused(), ShouldBeFalse)
+	Convey("An answer makes the server available again", t, func() {
+		b, server := start()
+		now := t0.Add(300*time.Millisecond + connectFailedPause)
+		runRequest(b, now, server, time.Millisecond, Answered)
+		b.Begin(now, server, requirements(now))
+		So(b.Evaluate(now, requirements(now), server).Refused(), ShouldBeFalse)
 	})
 }
 
-// Guards against an idle server that is left alone since it declined a request.
-func TestIdleServerDeclines(t *testing.T) {
-	Convey("Its slots still count as free", t, func() {
-		s, v := fresh(), servers(1)[0]
-		n := need(t0)
-		s.Begin(t0, v, n)
-		s.End(t0, v, n, t0, Shed, &Report{Slots: 4})
-		So(s.Judge(t0, n, v).free, ShouldBeTrue)
+// Guards against an idle server that gets no requests because it declined one.
+func TestIdleServerShedsRequest(t *testing.T) {
+	Convey("The slots of an idle server that declines a request still count as free", t, func() {
+		b, server := newBalancer(), servers(1)[0]
+		req := requirements(t0)
+		b.Begin(t0, server, req)
+		b.End(t0, server, req, t0, Shed, &Report{Slots: 4})
+		So(b.Evaluate(t0, req, server).canServeNow, ShouldBeTrue)
 	})
-	Convey("A full one counts as full", t, func() {
-		s, v := fresh(), servers(1)[0]
-		n := need(t0)
-		s.Begin(t0, v, n)
-		s.End(t0, v, n, t0, Shed, &Report{Running: 4, Waiting: 2, Slots: 4})
-		So(s.Judge(t0, n, v).free, ShouldBeFalse)
+	Convey("A full server that declines a request counts as full", t, func() {
+		b, server := newBalancer(), servers(1)[0]
+		req := requirements(t0)
+		b.Begin(t0, server, req)
+		b.End(t0, server, req, t0, Shed, &Report{Running: 4, Waiting: 2, Slots: 4})
+		So(b.Evaluate(t0, req, server).canServeNow, ShouldBeFalse)
 	})
 }
 
-// Guards against requests that wait past their aim, and against slots that stay idle.
+// Guards against requests that wait in the queue past their aim, and against refusals while a
+// slot is idle.
 func TestBurst(t *testing.T) {
-	Convey("A request that would come late is refused at once", t, func() {
-		s, vs := fresh(), servers(1)
+	Convey("A request that would be answered late is refused at once", t, func() {
+		b, list := newBalancer(), servers(1)
 		for i := range 30 {
-			answer(s, t0.Add(time.Duration(i)*time.Second), vs[0], 150*time.Millisecond, Answered)
+			runRequest(b, t0.Add(time.Duration(i)*time.Second), list[0], 150*time.Millisecond, Answered)
 		}
 		now := t0.Add(time.Minute)
-		taken := map[int]int{}
+		accepted := map[int]int{}
 		for range 40 {
 			for _, priority := range []int{1, 2} {
-				n := need(now)
-				n.Priority = priority
-				c := s.Choose(now, n, vs)
+				req := requirements(now)
+				req.Priority = priority
+				c := b.Choose(now, req, list)
 				if c.Refused() {
-					So(c.Reason, ShouldEqual, Busy)
+					So(c.Reason, ShouldEqual, AllBusy)
 					So(c.RetryAfter, ShouldBeBetweenOrEqual, 40*time.Millisecond, 400*time.Millisecond)
 					continue
 				}
-				s.Begin(now, vs[0], n)
-				taken[priority]++
+				b.Begin(now, list[0], req)
+				accepted[priority]++
 			}
 		}
-		So(taken[1]+taken[2], ShouldBeBetween, 4, 16)
-		So(taken[1], ShouldBeGreaterThanOrEqualTo, taken[2])
+		So(accepted[1]+accepted[2], ShouldBeBetween, 4, 16)
+		So(accepted[1], ShouldBeGreaterThanOrEqualTo, accepted[2])
 	})
-	Convey("An idle slot is used although the answer will be late", t, func() {
-		s, vs := fresh(), servers(1)
+	Convey("An idle slot is used even if the answer will be late", t, func() {
+		b, list := newBalancer(), servers(1)
 		for i := range 200 {
-			answer(s, t0.Add(time.Duration(i)*time.Second), vs[0], 600*time.Millisecond, Answered)
+			runRequest(b, t0.Add(time.Duration(i)*time.Second), list[0], 600*time.Millisecond, Answered)
 		}
 		now := t0.Add(time.Hour)
-		So(s.Choose(now, need(now), vs).Refused(), ShouldBeFalse)
+		So(b.Choose(now, requirements(now), list).Refused(), ShouldBeFalse)
 	})
 }
 
-// Guards against a cold server that gets more than it bears from daemons that cannot talk.
-func TestColdServerOverAllDaemons(t *testing.T) {
+// Guards against a cold server that gets more requests than its limit because the daemons
+// cannot communicate.
+func TestColdServerLimitHoldsAcrossDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 100).Draw(t, "daemons")
 		limits := Limits{ColdFactor: 1.5, ColdSlack: rapid.Float64Range(5, 8).Draw(t, "slack"), Daemons: daemons}
-		v := servers(1)[0]
-		var spreads []*Spread
+		server := servers(1)[0]
+		var balancers []*Balancer
 		for i := range daemons {
 			l := limits
 			l.Index = i
-			s := New(uint64(i), l)
-			s.AssumeCold(v, t0.Add(time.Minute))
-			spreads = append(spreads, s)
+			b := New(uint64(i), l)
+			b.AssumeCold(server, t0.Add(time.Minute))
+			balancers = append(balancers, b)
 		}
 		var sent []time.Time
 		for now := t0; now.Before(t0.Add(4 * time.Second)); now = now.Add(20 * time.Millisecond) {
 			for range rapid.IntRange(0, 30).Draw(t, "requests") {
-				s := spreads[rapid.IntRange(0, daemons-1).Draw(t, "at")]
-				n := need(now)
-				if !s.Judge(now, n, v).Refused() {
-					s.Begin(now, v, n)
-					s.End(now, v, n, now, CalledOff, nil)
+				b := balancers[rapid.IntRange(0, daemons-1).Draw(t, "at")]
+				req := requirements(now)
+				if !b.Evaluate(now, req, server).Refused() {
+					b.Begin(now, server, req)
+					b.End(now, server, req, now, Cancelled, nil)
 					sent = append(sent, now)
 				}
 			}
@@ -229,104 +232,106 @@
 	})
 }
 
-// Guards against requests that cross to data centres as overloaded as their own.
-func TestUnknownDataCentresAreNoBetter(t *testing.T) {
-	loaded := func(waiting int) (*Spread, []fleet.Server) {
-		s, vs := fresh(), servers(12)
-		for i := range vs {
+// Guards against sending requests to other data centres that are as overloaded as the local one.
+func TestUnknownDataCentresAreAssumedLoaded(t *testing.T) {
+	loaded := func(waiting int) (*Balancer, []fleet.Server) {
+		b, list := newBalancer(), servers(12)
+		for i := range list {
 			if i >= 6 {
-				vs[i].DataCentre = "y"
+				list[i].DataCentre = "y"
 			}
 		}
 		for i := range 30 {
-			n := need(t0)
-			s.Begin(t0, vs[i%6], n)
-			s.End(t0.Add(200*time.Millisecond), vs[i%6], n, t0, Answered, &Report{Running: 4, Waiting: waiting, Slots: 4, Bytes: 5000})
+			req := requirements(t0)
+			b.Begin(t0, list[i%6], req)
+			b.End(t0.Add(200*time.Millisecond), list[i%6], req, t0, Answered, &Report{Running: 4, Waiting: waiting, Slots: 4, Bytes: 5000})
 		}
-		return s, vs
+		return b, list
 	}
 	now := t0.Add(600 * time.Millisecond)
-	Convey("With some room left here nothing crosses", t, func() {
-		s, vs := loaded(1)
-		So(s.Choose(now, need(now), vs).Server.DataCentre, ShouldEqual, "x")
+	Convey("If local servers can still answer in time, the request stays in the data centre", t, func() {
+		b, list := loaded(1)
+		So(b.Choose(now, requirements(now), list).Server.DataCentre, ShouldEqual, "x")
 	})
-	Convey("In deep overload all are refused", t, func() {
-		s, vs := loaded(12)
-		So(s.Choose(now, need(now), vs).Reason, ShouldEqual, Busy)
+	Convey("In a severe overload the request is refused", t, func() {
+		b, list := loaded(12)
+		So(b.Choose(now, requirements(now), list).Reason, ShouldEqual, AllBusy)
 	})
 }
 
-// Guards against a request that is sent again at once to a server that has reset it for want of room.
-func TestServerThatResetsIsFull(t *testing.T) {
-	ended := func(after time.Duration, o Outcome) (*Spread, Choice) {
-		s, v := fresh(), servers(1)[0]
+// Guards against an immediate retry at a server that reset the connection because its queue is
+// full.
+func TestEarlyResetMarksServerFull(t *testing.T) {
+	evaluate := func(after time.Duration, outcome Outcome) (*Balancer, Choice) {
+		b, server := newBalancer(), servers(1)[0]
 		for range 20 {
-			answer(s, t0, v, 300*time.Millisecond, Answered)
+			runRequest(b, t0, server, 300*time.Millisecond, Answered)
 		}
-		s.TakePaces(false)
-		answer(s, t0, v, after, o)
+		b.TakeStats(false)
+		runRequest(b, t0, server, after, outcome)
 		now := t0.Add(after)
-		return s, s.Judge(now, need(now), v)
+		return b, b.Evaluate(now, requirements(now), server)
 	}
-	Convey("A reset within milliseconds says that the queue is long", t, func() {
-		s, c := ended(2*time.Millisecond, TurnedAway)
-		So(c.Reason, ShouldEqual, Busy)
-		So(s.TakePaces(false)[0].Full, ShouldEqual, 1)
+	Convey("A reset within milliseconds means that the queue is long", t, func() {
+		b, c := evaluate(2*time.Millisecond, ConnectionReset)
+		So(c.Reason, ShouldEqual, AllBusy)
+		So(b.TakeStats(false)[0].FullReports, ShouldEqual, 1)
 	})
-	Convey("Another failure, or a kept connection that broke, says nothing of that", t, func() {
-		_, c := ended(2*time.Millisecond, Failed)
+	Convey("Another failure, such as a reused connection that broke, does not mean that", t, func() {
+		_, c := evaluate(2*time.Millisecond, Failed)
 		So(c.Refused(), ShouldBeFalse)
 	})
-	Convey("One after as long as a run says that an answer was lost", t, func() {
-		s, c := ended(250*time.Millisecond, TurnedAway)
+	Convey("A reset after about the processing time means that an answer was lost", t, func() {
+		b, c := evaluate(250*time.Millisecond, ConnectionReset)
 		So(c.Refused(), ShouldBeFalse)
-		So(s.TakePaces(true)[0].Full, ShouldEqual, 0)
+		So(b.TakeStats(true)[0].FullReports, ShouldEqual, 0)
 	})
 }
 
-// Guards against a request that crashes the same server again whenever its caller retries.
-func TestRequestTurnsToOtherServersThanItCrashed(t *testing.T) {
-	Convey("Servers lost with it are asked last", t, func() {
-		s, vs := fresh(), servers(6)
+// Guards against a request that crashes a server again whenever its caller retries.
+func TestCrashingRequestAvoidsLostServers(t *testing.T) {
+	Convey("Servers that were lost while they ran the request are chosen last", t, func() {
+		b, list := newBalancer(), servers(6)
 		var lost []string
-		for range vs {
-			n := need(t0)
-			n.Lost = lost
-			c := s.Choose(t0, n, vs)
+		for range list {
+			req := requirements(t0)
+			req.LastResort = lost
+			c := b.Choose(t0, req, list)
 			So(c.Refused(), ShouldBeFalse)
 			So(lost, ShouldNotContain, c.Server.ID)
 			lost = append(lost, c.Server.ID)
 		}
-		n := need(t0)
-		n.Lost = lost
-		So(s.Choose(t0, n, vs).Refused(), ShouldBeFalse)
-		n.Tried = lost
-		So(s.Choose(t0, n, vs).Reason, ShouldEqual, None)
+		req := requirements(t0)
+		req.LastResort = lost
+		So(b.Choose(t0, req, list).Refused(), ShouldBeFalse)
+		req.Excluded = lost
+		So(b.Choose(t0, req, list).Reason, ShouldEqual, NoServer)
 	})
 }
 
-// Guards against reports that grow with the servers of a site, and not with their use.
-func TestPacesTellWhatIsNew(t *testing.T) {
-	Convey("Only servers that answered since the last report are in it", t, func() {
-		s, vs := fresh(), servers(3)
-		for _, v := range vs {
-			answer(s, t0, v, 100*time.Millisecond, Answered)
+// Guards against stats messages whose size grows with the number of servers rather than with
+// the number that answered.
+func TestTakeStatsReturnsOnlyNewAnswers(t *testing.T) {
+	Convey("Only servers that answered since the last call are listed", t, func() {
+		b, list := newBalancer(), servers(3)
+		for _, server := range list {
+			runRequest(b, t0, server, 100*time.Millisecond, Answered)
 		}
-		So(s.TakePaces(false), ShouldHaveLength, 3)
-		So(s.TakePaces(false), ShouldBeEmpty)
+		So(b.TakeStats(false), ShouldHaveLength, 3)
+		So(b.TakeStats(false), ShouldBeEmpty)
 		now := t0.Add(time.Second)
-		for _, pace := range []float64{1, 4} {
-			s.Begin(now, vs[1], need(now))
-			s.End(now, vs[1], need(now), now, Answered, &Report{Running: 1, Waiting: 4, Slots: 4, Pace: pace})
+		for _, slowdown := range []float64{1, 4} {
+			b.Begin(now, list[1], requirements(now))
+			b.End(now, list[1], requirements(now), now, Answered, &Report{Running: 1, Waiting: 4, Slots: 4, Slowdown: slowdown})
 		}
-		So(s.TakePaces(false), ShouldResemble, []Pace{{Server: "s1", Factor: 2.5, Answers: 2, Heard: 2, Full: 2}})
+		So(b.TakeStats(false), ShouldResemble, []ServerStats{{Server: "s1", Slowdown: 2.5, Answers: 2, LoadReports: 2, FullReports: 2}})
 	})
-	Convey("A new leader gets what was learned before", t, func() {
-		s, vs := fresh(), servers(3)
-		for _, v := range vs {
-			answer(s, t0, v, 100*time.Millisecond, Answered)
+	Convey("A new leader gets the stats from earlier answers as well", t, func() {
+		b, list := newBalancer(), servers(3)
+		for _, server := range list {
+			runRequest(b, t0, server, 100*time.Millisecond, Answered)
 		}
-		s.TakePaces(false)
-		So(s.TakePaces(true), ShouldHaveLength, 3)
+		b.TakeStats(false)
+		So(b.TakeStats(true), ShouldHaveLength, 3)
 	})
 }
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -25,7 +25,7 @@
 		if c.Reason == moving && r.awaitOpen(ctx, o, changed) {
 			continue
 		}
-		if !c.Refused() || c.Doubtful() {
+		if !c.Refused() || c.RefusalUncertain() {
 			c = r.askPermit(ctx, o, v, c)
 		}
 		if c.Reason == contendedNow && o.tryOther(v) {
@@ -55,7 +55,7 @@
 	if o.key >= 0 || a != nil && declined(a) {
 		return
 	}
-	o.need.Tried = append(o.need.Tried, v.ID)
+	o.need.Excluded = append(o.need.Excluded, v.ID)
 }
 
 // declined tells whether a server did not run a request although it says that it
@@ -74,7 +74,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.spread.Choose(now, o.need, s.serving[o.service.Name])
-	if !c.Refused() || c.Doubtful() {
+	if !c.Refused() || c.RefusalUncertain() {
 		o.began = now
 		r.spread.Begin(now, c.Server, o.need)
 	}
@@ -94,8 +94,8 @@
 	if !ok || !g.Open() || !lives || !s.mayServe(v) {
 		return v, r.closedChoice(now, o, g, lives)
 	}
-	c := r.spread.Judge(now, o.need, v)
-	if !c.Refused() || c.Doubtful() {
+	c := r.spread.Evaluate(now, o.need, v)
+	if !c.Refused() || c.RefusalUncertain() {
 		o.began = now
 		r.spread.Begin(now, v, o.need)
 	}
@@ -135,19 +135,19 @@
 	if a == nil || a.Load == nil {
 		return nil
 	}
-	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Pace: a.Load.Pace}
+	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Slowdown: a.Load.Pace}
 }
 
 func outcome(ctx context.Context, a *link.Answer, err error) spread.Outcome {
 	switch {
 	case err != nil && link.KindOf(err) == link.Refused:
-		return spread.Unreachable
+		return spread.ConnectionRefused
 	case err != nil && link.KindOf(err) == link.NoWay && ctx.Err() == nil:
-		return spread.Silent
+		return spread.ConnectFailed
 	case err != nil && errors.Is(context.Cause(ctx), context.Canceled):
-		return spread.CalledOff
+		return spread.Cancelled
 	case err != nil && link.ResetNew(err):
-		return spread.TurnedAway
+		return spread.ConnectionReset
 	case err != nil:
 		return spread.Failed
 	case a.NotRun:
@@ -215,7 +215,7 @@
 	}
 	r.meters.add("attempts." + strings.ReplaceAll(then, " ", ""))
 	r.log.Info("request: attempt failed", "id", o.id, "route", o.route.Name, "key", o.key, "attempt", o.attempts(), "server", v.ID,
-		"expected", c.Expected.String(), "left", time.Until(o.deadline).String(), "status", status, "err", err, "then", then)
+		"expected", c.ExpectedTime.String(), "left", time.Until(o.deadline).String(), "status", status, "err", err, "then", then)
 }
 
 // leastWorth is the time below which another attempt cannot be expected to end:
@@ -223,7 +223,7 @@
 func (r *Router) leastWorth(o *order) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spread.Usual(o.need) / 2
+	return r.spread.TypicalTime(o.need) / 2
 }
 
 // spend takes one repeat out of the shared budget.
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -27,7 +27,7 @@
 	now := time.Now()
 	return &order{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
 		route: config.Route{Idempotent: true, Attempts: 2, Aim: aim}, deadline: now.Add(2 * aim),
-		need: spread.Need{Route: "look", Aim: aim, Began: now, Deadline: now.Add(2 * aim), Near: "x"}}
+		need: spread.Requirements{Route: "look", Aim: aim, ReceivedAt: now, Deadline: now.Add(2 * aim), LocalDataCentre: "x"}}
 }
 
 // moved makes a router that saw ranges of a service closed for so long.
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -299,7 +299,7 @@
 	defer c.r.mu.Unlock()
 	c.r.daemons = c.members.Count()
 	index, near := c.members.NearIndex()
-	c.r.spread.Limit(c.r.limits().WithDaemons(c.members.Count(), c.members.Index()).WithNear(near, index))
+	c.r.spread.SetLimits(c.r.limits().WithDaemons(c.members.Count(), c.members.Index()).WithLocalDaemons(near, index))
 	for _, b := range c.r.budgets {
 		b.SetShare(c.r.retryShare() * retryMargin)
 		b.SetBurst(c.r.burst())
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -85,9 +85,9 @@
 	for _, p := range relayed {
 		sums[p.Server] = sums[p.Server].with(foundOf(p))
 	}
-	for _, p := range r.spread.TakePaces(newLeader) {
+	for _, p := range r.spread.TakeStats(newLeader) {
 		if v, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[v.Service] {
-			f := found{Finding: pace.Finding{Factor: p.Factor, Answers: p.Answers}, heard: p.Heard, full: p.Full}
+			f := found{Finding: pace.Finding{Factor: p.Slowdown, Answers: p.Answers}, heard: p.LoadReports, full: p.FullReports}
 			sums[p.Server] = sums[p.Server].with(f)
 		}
 	}
--- a/io/process/router/entries.go
+++ b/io/process/router/entries.go
@@ -214,6 +214,6 @@
 	c.r.current.Store(c.r.current.Load().withFleet(f, out))
 	c.r.links.keep(f)
 	c.r.mu.Lock()
-	c.r.spread.Keep(f)
+	c.r.spread.Prune(f)
 	c.r.mu.Unlock()
 }
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -111,9 +111,9 @@
 	relay := c.members.IsRelay(now)
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	at := c.r.spread.Own()
+	at := c.r.spread.OwnLoad()
 	if asker != "" && relay {
-		at, h.Summed = c.r.spread.Summed(now, asker), true
+		at, h.Summed = c.r.spread.TotalLoad(now, asker), true
 	}
 	for id, n := range at {
 		h.UnderWay = append(h.UnderWay, &wire.UnderWay{Server: id, Requests: uint32(n)})
@@ -212,10 +212,10 @@
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	if h.Summed {
-		c.r.spread.SetPeers(now, at)
+		c.r.spread.SetPeerTotal(now, at)
 		return
 	}
-	c.r.spread.SetPeer(now, h.Name, at)
+	c.r.spread.SetPeerLoad(now, h.Name, at)
 }
 
 func age(now, at time.Time) int64 {
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -108,9 +108,9 @@
 		c.Reason = ""
 	case answered:
 		c.Reason, c.RetryAfter = contendedNow, a.Back
-		r.notSent(o, v, spread.NotPermitted)
+		r.notSent(o, v, spread.PermitDenied)
 	case c.Refused():
-		r.notSent(o, v, spread.CalledOff)
+		r.notSent(o, v, spread.Cancelled)
 		r.endPermit(o)
 	}
 	return c
@@ -151,14 +151,14 @@
 	if o.key >= 0 {
 		contended = r.permits.contended[v.ID] && now.Before(r.permits.until)
 	}
-	work := r.spread.Work(now, o.need, v)
+	work := r.spread.ProcessingTime(now, o.need, v)
 	if !contended || !permit.Worth(work) {
 		return permit.Request{}, false
 	}
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", v.ID, v.Born), ID: r.permits.lastID, Slots: v.Slots,
-		Work: work, Patience: r.spread.Patience(o.need) - now.Sub(o.Read), Lasts: o.deadline.Sub(now) + answerMargin,
+		Work: work, Patience: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), Lasts: o.deadline.Sub(now) + answerMargin,
 	}, true
 }
 
@@ -169,7 +169,7 @@
 		return false
 	}
 	o.turnedDown++
-	o.need.Tried = append(o.need.Tried, v.ID)
+	o.need.Excluded = append(o.need.Excluded, v.ID)
 	return true
 }
 
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -133,7 +133,7 @@
 		So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
 		So(r.meters.vars.Get("refused."+string(contendedNow)).String(), ShouldEqual, "1")
 		So(r.meters.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+othersMost))
-		So(r.spread.Own(), ShouldBeEmpty) // what was not sent is not under way
+		So(r.spread.OwnLoad(), ShouldBeEmpty) // what was not sent is not under way
 	})
 }
 
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -60,7 +60,7 @@
 	links   links
 
 	mu      sync.Mutex // guards what follows, shared by requests
-	spread  *spread.Spread
+	spread  *spread.Balancer
 	budgets map[string]*retry.Budget
 	// suspects are requests that servers were lost with.
 	suspects   *crash.Suspects
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -40,7 +40,7 @@
 	service  config.Service
 	key      int // -1 where the service has no keys
 	deadline time.Time
-	need     spread.Need
+	need     spread.Requirements
 	print    uint64    // the same for each try of the same content
 	arrived  int       // attempts that may have reached a server
 	unsent   int       // attempts that reached none
@@ -123,8 +123,8 @@
 			return nil, r.plain(id, http.StatusBadRequest, reasonNoKey)
 		}
 	}
-	o.need = spread.Need{Route: route.Name, Service: o.service, Aim: route.Aim, Priority: route.Priority,
-		Began: q.Read, Deadline: o.deadline, Near: r.settings.DataCentre}
+	o.need = spread.Requirements{Route: route.Name, Service: o.service, Aim: route.Aim, Priority: route.Priority,
+		ReceivedAt: q.Read, Deadline: o.deadline, LocalDataCentre: r.settings.DataCentre}
 	return o, nil
 }
 
@@ -163,7 +163,7 @@
 	defer r.mu.Unlock()
 	if o.key >= 0 {
 		k := heatKey{service: o.service.Name, bucket: uint32(keeper.Bucket(o.key))}
-		r.heat[k] = r.heat[k].with(1, r.spread.Usual(o.need), o.route.Aim)
+		r.heat[k] = r.heat[k].with(1, r.spread.TypicalTime(o.need), o.route.Aim)
 	}
 	b := r.budgets[o.service.Name]
 	if b == nil {
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -24,11 +24,11 @@
 		return outcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
 	}
 	Convey("A write that fails says nothing of the way to the server", t, func() {
-		So(failed(link.NoWay), ShouldEqual, spread.Silent)
+		So(failed(link.NoWay), ShouldEqual, spread.ConnectFailed)
 		So(failed(link.NotSent), ShouldEqual, spread.Failed)
-		So(failed(link.Refused), ShouldEqual, spread.Unreachable)
+		So(failed(link.Refused), ShouldEqual, spread.ConnectionRefused)
 		reset := &link.Error{Op: "read", Kind: link.Unsure, Err: syscall.ECONNRESET}
-		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.TurnedAway)
+		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.ConnectionReset)
 		reset.Kept = true
 		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.Failed)
 	})
@@ -39,7 +39,7 @@
 	Convey("Each request adds its work and its aim", t, func() {
 		r := still()
 		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Aim: 300 * time.Millisecond},
-			need: spread.Need{Route: "look", Aim: 300 * time.Millisecond}}
+			need: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
 		r.count(o)
 		r.count(o)
 		heat, _ := r.takeHeat(nil, false)
@@ -59,7 +59,7 @@
 			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}}}}}))
 		now := time.Now()
 		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, Attempts: 2, Aim: time.Second},
-			need: spread.Need{Route: "look", Aim: time.Second, Began: now, Deadline: now.Add(3 * time.Second), Near: "x"}}
+			need: spread.Requirements{Route: "look", Aim: time.Second, ReceivedAt: now, Deadline: now.Add(3 * time.Second), LocalDataCentre: "x"}}
 		v, c := r.owner(r.current.Load(), o, now)
 		So(c.Refused(), ShouldBeFalse)
 		So(v.ID, ShouldEqual, "a")
@@ -73,9 +73,9 @@
 	Convey("An unkeyed request goes elsewhere, unless the server only declined", t, func() {
 		o, v := &order{key: -1}, fleet.Server{ID: "a"}
 		o.failedAt(v, &link.Answer{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
-		So(o.need.Tried, ShouldBeEmpty)
+		So(o.need.Excluded, ShouldBeEmpty)
 		o.failedAt(v, nil)
-		So(o.need.Tried, ShouldResemble, []string{"a"})
+		So(o.need.Excluded, ShouldResemble, []string{"a"})
 	})
 }
 
@@ -93,7 +93,7 @@
 		r, _ := crashed("a", "b")
 		next := lookup(time.Second)
 		So(r.crashes(next), ShouldBeFalse)
-		So(next.need.Lost, ShouldResemble, []string{"a", "b"})
+		So(next.need.LastResort, ShouldResemble, []string{"a", "b"})
 	})
 	Convey("After the last loss that is allowed it is not sent again", t, func() {
 		r, o := crashed("a", "b")
@@ -113,9 +113,9 @@
 		leads(1)
 		r.serversAt(second(1), 10, entryOf("a", 5))
 		v, _ := r.current.Load().fleet.Find("a")
-		n := spread.Need{Route: "look", Aim: time.Second, Near: "x"}
+		n := spread.Requirements{Route: "look", Aim: time.Second, LocalDataCentre: "x"}
 		r.spread.Begin(t0, v, n)
-		r.spread.End(t0, v, n, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Pace: 4})
+		r.spread.End(t0, v, n, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
 		slow := func(at float64) bool {
 			r.control.heats = newHeats()
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -53,7 +53,7 @@
 func (r *Router) crashes(o *order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.need.Lost = r.suspects.Servers(o.print)
+	o.need.LastResort = r.suspects.Servers(o.print)
 	return r.suspects.Refused(time.Now(), o.print)
 }
 
