--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: right: %d services, %d data centres, preset %s in force\n", c.File, len(s.Services), len(s.DataCentres), s.Preset().Name)
+	fmt.Printf("%s: right: %d services, %d data centres, preset %s in force\n", c.File, len(s.Services), len(s.DataCentres), s.ActivePreset().Name)
 	return nil
 }
 
@@ -81,17 +81,17 @@
 // Run marks a data centre.
 func (d *dataCentreCmd) Run(ctx context.Context, c *commands) error {
 	if d.Out.Name != "" {
-		return accepted(c.client().Out(ctx, site.Out{DataCentre: d.Out.Name}))
+		return accepted(c.client().Out(ctx, site.Exclusion{DataCentre: d.Out.Name}))
 	}
-	return accepted(c.client().In(ctx, site.Out{DataCentre: d.In.Name}))
+	return accepted(c.client().In(ctx, site.Exclusion{DataCentre: d.In.Name}))
 }
 
 // Run marks a host.
 func (h *hostCmd) Run(ctx context.Context, c *commands) error {
 	if h.Out.Address != "" {
-		return accepted(c.client().Out(ctx, site.Out{Host: h.Out.Address}))
+		return accepted(c.client().Out(ctx, site.Exclusion{Host: h.Out.Address}))
 	}
-	return accepted(c.client().In(ctx, site.Out{Host: h.In.Address}))
+	return accepted(c.client().In(ctx, site.Exclusion{Host: h.In.Address}))
 }
 
 func accepted(a admin.Accepted, err error) error {
--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -145,10 +145,10 @@
 // connections is this daemon's share of the connections that a server takes;
 // a tenth is left for grants and for connections on their way out.
 func (s *Spread) connections(v config.Service) int {
-	if v.Connections == 0 {
+	if v.MaxConnections == 0 {
 		return 1 << 20
 	}
-	return max(1, v.Connections*9/10/s.limits.Daemons)
+	return max(1, v.MaxConnections*9/10/s.limits.Daemons)
 }
 
 func tried(n Need, id string) bool {
--- a/core/request/spread/fleet_test.go
+++ b/core/request/spread/fleet_test.go
@@ -76,7 +76,7 @@
 
 func newPlace(daemons, servers int, work time.Duration, aim time.Duration) *place {
 	p := &place{random: rand.New(rand.NewPCG(3, 1)), now: t0, work: work.Seconds(), service: Need{Route: "r", Service: service, Aim: aim, Priority: 1, Near: "x"}}
-	p.service.Service.Connections = 0
+	p.service.Service.MaxConnections = 0
 	for i := range daemons {
 		p.daemons = append(p.daemons, New(uint64(i), Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons, Near: daemons, NearIndex: i}))
 	}
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -14,7 +14,7 @@
 
 var t0 = time.Unix(1000, 0)
 
-var service = config.Service{Name: "s", Connections: 100, Cold: 3 * time.Second, ColdRate: 12}
+var service = config.Service{Name: "s", MaxConnections: 100, ColdPeriod: 3 * time.Second, ColdRate: 12}
 
 func servers(n int) []fleet.Server {
 	var out []fleet.Server
--- a/core/version/config/config.go
+++ b/core/version/config/config.go
@@ -10,59 +10,59 @@
 
 // Config is one accepted version of the configuration.
 type Config struct {
-	// Version grows with each accepted change, by irregular steps.
+	// Version increases with each accepted change, not necessarily by one.
 	Version  uint64    `json:"version"`
 	Limits   Limits    `json:"limits"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
-	// RetryShare bounds extra attempts as a share of the requests; 0 leaves it to
+	// RetryShare limits retries to a share of the requests; 0 leaves the limit to
 	// the daemons' settings.
 	RetryShare float64 `json:"retryShare,omitempty"`
-	// KeepKeys leaves busy servers their keys: fewer moves, longer tails.
-	KeepKeys bool `json:"keepKeys,omitempty"`
-	// hosts lists the routes of each host, by its name in lower case.
-	hosts map[string][]int
+	// DisableRebalancing keeps keys at busy servers instead of moving them away:
+	// fewer moves, but higher tail latency.
+	DisableRebalancing bool `json:"keepKeys,omitempty"`
+	// routesByHost maps a host name in lower case to the indexes of its routes.
+	routesByHost map[string][]int
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
-	// HeaderBytes bounds a request's head, in bytes.
-	HeaderBytes int `json:"headerBytes"`
-	// BodyBytes bounds a request's body, in bytes.
-	BodyBytes int64 `json:"bodyBytes"`
-	// Header is how long a request's head may take to arrive.
-	Header time.Duration `json:"header"`
-	// Idle is how long a connection may be kept without a request.
-	Idle time.Duration `json:"idle"`
+	// MaxHeaderBytes limits the size of the request line and headers.
+	MaxHeaderBytes int   `json:"headerBytes"`
+	MaxBodyBytes   int64 `json:"bodyBytes"`
+	// HeaderTimeout is how long the request line and headers may take to arrive.
+	HeaderTimeout time.Duration `json:"header"`
+	// IdleTimeout is how long a connection may stay open without a request.
+	IdleTimeout time.Duration `json:"idle"`
 }
 
-// Route says what becomes of the requests of a host under a path prefix.
+// Route says how the requests to a host under a path prefix are handled.
 type Route struct {
 	Name string `json:"name"`
-	// Host is what callers name; AnyHost leaves it open.
+	// Host is matched against the Host header; AnyHost matches every host.
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
-	// Methods that the route takes; none means all that no other route of the
-	// same host and prefix names.
+	// Methods are the methods that the route matches. If empty, it matches every
+	// method that no other route of the same host and prefix lists.
 	Methods []string `json:"methods,omitempty"`
-	// Strip is taken off the front of the path before it goes to a server.
-	Strip string `json:"strip,omitempty"`
-	// Parts are the destinations with their weights; one for most routes.
-	Parts []Part `json:"parts"`
-	// Idempotent requests may run more than once.
+	// StripPrefix is removed from the path before the request is sent to a server.
+	StripPrefix string `json:"strip,omitempty"`
+	// Destinations are the services that share the requests; most routes have one.
+	Destinations []Destination `json:"parts"`
+	// Idempotent is set when a request may run more than once.
 	Idempotent bool `json:"idempotent"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for an answer.
 	Timeout time.Duration `json:"timeout"`
-	// Aim is the latency within which an answer is fully useful.
-	Aim time.Duration `json:"aim"`
-	// Attempts bounds the backend servers that one request may be sent to.
-	Attempts int `json:"attempts"`
-	// Priority is the rank among the routes of a service; 0 is the most urgent.
+	// LatencyTarget is the latency up to which an answer has its full value.
+	LatencyTarget time.Duration `json:"aim"`
+	// MaxAttempts limits the number of backend servers that one request is sent to.
+	MaxAttempts int `json:"attempts"`
+	// Priority orders the routes of a service; 0 is the highest priority.
 	Priority int `json:"priority"`
 }
 
-// Part is a destination's share of a route.
-type Part struct {
+// Destination is a service with its weight among the destinations of a route.
+type Destination struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
@@ -71,31 +71,34 @@
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"healthPath"`
-	// Connections bounds the connections to one server, from all daemons.
-	Connections int `json:"connections"`
-	// Keyed services run a request only at the server that holds its key.
+	// MaxConnections limits the connections to one server from all daemons together.
+	MaxConnections int `json:"connections"`
+	// Keyed is set when a request may run only at the server that owns its key.
 	Keyed bool `json:"keyed"`
-	// KeySegment is the segment of the path, from 1 after the stripped part, that
-	// names the key where callers give no number.
+	// KeySegment is the path segment that holds the key if the caller sends no key
+	// number. Segments are counted from 1 after StripPrefix.
 	KeySegment int `json:"keySegment,omitempty"`
-	// KeyByID takes a request's id for its key.
+	// KeyByID is set when the request ID is the key.
 	KeyByID bool `json:"keyByID,omitempty"`
-	// Warm is how long keys are slow at a server that got them without a handover.
-	Warm time.Duration `json:"warm"`
-	// Cold is how long a server stays cold after its start.
-	Cold time.Duration `json:"cold"`
-	// ColdRate is how many requests a second a cold server bears, from all daemons.
+	// KeyWarmup is how long requests for a key are slow at a server that received the
+	// key without a handover.
+	KeyWarmup time.Duration `json:"warm"`
+	// ColdPeriod is how long a server is cold after its start.
+	ColdPeriod time.Duration `json:"cold"`
+	// ColdRate is how many requests per second a cold server can handle, from all
+	// daemons together.
 	ColdRate float64 `json:"coldRate"`
 }
 
-// Match finds the route with the longest prefix of a path at a host.
+// Match returns the most specific route for a request: the one with the longest
+// prefix of the path, then one that lists the method. It needs WithIndex.
 func (c Config) Match(host, path, method string) (Route, bool) {
-	host = strings.ToLower(bare(host))
+	host = strings.ToLower(stripPort(host))
 	best := -1
-	for _, routes := range [][]int{c.hosts[host], c.hosts[AnyHost]} {
+	for _, routes := range [][]int{c.routesByHost[host], c.routesByHost[AnyHost]} {
 		for _, i := range routes {
 			r := &c.Routes[i]
-			if r.takes(path, method) && (best < 0 || r.before(&c.Routes[best])) {
+			if r.matches(path, method) && (best < 0 || r.moreSpecific(&c.Routes[best])) {
 				best = i
 			}
 		}
@@ -106,37 +109,38 @@
 	return c.Routes[best], true
 }
 
-// WithIndex returns the configuration ready for Match, which finds nothing
-// without: some have thousands of routes, and each request looks for its own.
+// WithIndex returns the configuration with its routes indexed by host. Match finds
+// no route without the index, which spares each request a scan of all routes: some
+// configurations have thousands.
 func (c Config) WithIndex() Config {
-	c.hosts = map[string][]int{}
+	c.routesByHost = map[string][]int{}
 	for i := range c.Routes {
 		host := strings.ToLower(c.Routes[i].Host)
-		c.hosts[host] = append(c.hosts[host], i)
+		c.routesByHost[host] = append(c.routesByHost[host], i)
 	}
 	return c
 }
 
-// AnyHost is the Host of a route that answers to every name.
+// AnyHost is the Host of a route that matches every host.
 const AnyHost = "*"
 
-func (r *Route) takes(path, method string) bool {
+func (r *Route) matches(path, method string) bool {
 	if !strings.HasPrefix(path, r.Prefix) {
 		return false
 	}
 	return len(r.Methods) == 0 || slices.ContainsFunc(r.Methods, func(m string) bool { return strings.EqualFold(m, method) })
 }
 
-// before tells which of two routes that take a request counts: the one with the
-// longer prefix, then the one that names the method.
-func (r *Route) before(o *Route) bool {
-	if len(r.Prefix) != len(o.Prefix) {
-		return len(r.Prefix) > len(o.Prefix)
+// moreSpecific reports whether r takes precedence over other when both match a
+// request: the longer prefix wins, then the route that lists methods.
+func (r *Route) moreSpecific(other *Route) bool {
+	if len(r.Prefix) != len(other.Prefix) {
+		return len(r.Prefix) > len(other.Prefix)
 	}
-	return len(r.Methods) > 0 && len(o.Methods) == 0
+	return len(r.Methods) > 0 && len(other.Methods) == 0
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name.
 func (c Config) Service(name string) (Service, bool) {
 	for _, s := range c.Services {
 		if s.Name == name {
@@ -146,13 +150,14 @@
 	return Service{}, false
 }
 
-// Check names the first thing that makes a configuration unusable.
+// Check returns an error for the first route that lacks a host, prefix or
+// destination, or leads to a service that is not configured.
 func (c Config) Check() error {
 	for _, r := range c.Routes {
-		if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || len(r.Parts) == 0 {
+		if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || len(r.Destinations) == 0 {
 			return &Error{Op: "check", Kind: BadRoute, Err: fmt.Errorf("route %q at %q%s has no host, prefix or destination", r.Name, r.Host, r.Prefix)}
 		}
-		for _, p := range r.Parts {
+		for _, p := range r.Destinations {
 			if _, ok := c.Service(p.Service); !ok {
 				return &Error{Op: "check", Kind: UnknownService, Err: fmt.Errorf("route %q leads to %q", r.Name, p.Service)}
 			}
@@ -161,23 +166,24 @@
 	return nil
 }
 
-// Pick draws a destination in proportion to the weights; u is from 0 to below 1.
-func (r Route) Pick(u float64) string {
+// PickService chooses a destination in proportion to the weights. u is a random
+// number in [0, 1).
+func (r Route) PickService(u float64) string {
 	total := 0.0
-	for _, p := range r.Parts {
+	for _, p := range r.Destinations {
 		total += p.Weight
 	}
 	u *= total
-	for _, p := range r.Parts {
+	for _, p := range r.Destinations {
 		if u -= p.Weight; u < 0 {
 			return p.Service
 		}
 	}
-	return r.Parts[len(r.Parts)-1].Service
+	return r.Destinations[len(r.Destinations)-1].Service
 }
 
-// bare drops the port of a Host header.
-func bare(host string) string {
+// stripPort removes the port from a Host header.
+func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		if _, err := netip.ParseAddr(host); err != nil {
 			return host[:i]
--- a/core/version/config/config_test.go
+++ b/core/version/config/config_test.go
@@ -10,9 +10,9 @@
 func sample() Config {
 	c := Config{Version: 7,
 		Routes: []Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Parts: []Part{{Service: "s", Weight: 1}}},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Parts: []Part{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
-			{Name: "flat", Host: "a.example", Prefix: "/x/", Parts: []Part{{Service: "t", Weight: 1}}},
+			{Name: "all", Host: "a.example", Prefix: "/", Destinations: []Destination{{Service: "s", Weight: 1}}},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Destinations: []Destination{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}},
+			{Name: "flat", Host: "a.example", Prefix: "/x/", Destinations: []Destination{{Service: "t", Weight: 1}}},
 		},
 		Services: []Service{{Name: "s"}, {Name: "t", Keyed: true}},
 	}
@@ -20,7 +20,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	Convey("The longest prefix at the host decides, whatever the order", t, func() {
+	Convey("The route with the longest prefix at the host matches, whatever the order", t, func() {
 		c := sample()
 		for _, v := range []struct {
 			host, path, name string
@@ -39,12 +39,13 @@
 	})
 }
 
-// Guards against a booking that is taken for a lookup, which may be sent again.
+// Guards against matching a booking to the route for lookups: that route is
+// idempotent, so the booking could be retried and run twice.
 func TestMatchByMethod(t *testing.T) {
-	Convey("The route that names the method goes first, whatever the order", t, func() {
+	Convey("A route that lists the method takes precedence, whatever the order", t, func() {
 		lookups := Route{Name: "lookups", Host: AnyHost, Prefix: "/s/", Methods: []string{"GET", "HEAD"}, Idempotent: true}
-		rest := Route{Name: "rest", Host: AnyHost, Prefix: "/s/"}
-		for _, c := range []Config{{Routes: []Route{lookups, rest}}, {Routes: []Route{rest, lookups}}} {
+		others := Route{Name: "rest", Host: AnyHost, Prefix: "/s/"}
+		for _, c := range []Config{{Routes: []Route{lookups, others}}, {Routes: []Route{others, lookups}}} {
 			for _, v := range []struct{ method, name string }{{"GET", "lookups"}, {"head", "lookups"}, {"POST", "rest"}, {"DELETE", "rest"}} {
 				r, ok := c.WithIndex().Match("whatever:80", "/s/x", v.method)
 				So(ok, ShouldBeTrue)
@@ -56,33 +57,33 @@
 	})
 }
 
-func TestPick(t *testing.T) {
-	Convey("Parts get their weights' shares", t, func() {
+func TestPickService(t *testing.T) {
+	Convey("Destinations are chosen in proportion to their weights", t, func() {
 		r, _ := sample().Match("a.example", "/x/y/z", "GET")
 		counts := map[string]int{}
 		for i := range 1000 {
-			counts[r.Pick(float64(i)/1000)]++
+			counts[r.PickService(float64(i)/1000)]++
 		}
 		So(counts["s"], ShouldEqual, 900)
 		So(counts["t"], ShouldEqual, 100)
 	})
-	Convey("A draw at the upper end still finds a part", t, func() {
+	Convey("A random number just below 1 still yields a destination", t, func() {
 		r, _ := sample().Match("a.example", "/x/y/z", "GET")
-		So(r.Pick(0.9999999999999999), ShouldEqual, "t")
+		So(r.PickService(0.9999999999999999), ShouldEqual, "t")
 	})
 }
 
 func TestCheck(t *testing.T) {
-	Convey("What cannot be used is named", t, func() {
+	Convey("Invalid routes are reported with their kind", t, func() {
 		So(sample().Check(), ShouldBeNil)
 		unknown := sample()
-		unknown.Routes = append(unknown.Routes, Route{Name: "r", Host: "h", Prefix: "/", Parts: []Part{{Service: "nowhere"}}})
+		unknown.Routes = append(unknown.Routes, Route{Name: "r", Host: "h", Prefix: "/", Destinations: []Destination{{Service: "nowhere"}}})
 		var e *Error
 		So(errors.As(unknown.Check(), &e), ShouldBeTrue)
 		So(e.Kind, ShouldEqual, UnknownService)
-		bare := sample()
-		bare.Routes = append(bare.Routes, Route{Name: "r", Host: "h", Prefix: "no-slash"})
-		So(errors.As(bare.Check(), &e), ShouldBeTrue)
+		incomplete := sample()
+		incomplete.Routes = append(incomplete.Routes, Route{Name: "r", Host: "h", Prefix: "no-slash"})
+		So(errors.As(incomplete.Check(), &e), ShouldBeTrue)
 		So(e.Kind, ShouldEqual, BadRoute)
 	})
 }
--- a/core/version/config/doc.go
+++ b/core/version/config/doc.go
@@ -1,11 +1,12 @@
-// Package config is the accepted configuration in force: which request goes to
-// which service, how often it may be sent, and how long it may take. Values are
-// immutable; a change is another Config with a higher Version.
+// Package config holds the accepted configuration: which service handles a request,
+// how many servers the request may be sent to, and how long it may take. Values are
+// immutable; a change is a new Config with a higher Version.
 //
 // # Usage
 //
-//	route, ok := c.Match(host, path)
-//	service, ok := c.Service(route.Pick(rand.Float64()))
+//	c = c.WithIndex()
+//	route, ok := c.Match(host, path, method)
+//	service, ok := c.Service(route.PickService(rand.Float64()))
 //
 // Errors are of type *Error.
 package config
--- a/core/version/config/error.go
+++ b/core/version/config/error.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Kind sorts the errors of this package.
+// Kind is the kind of an error of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	UnknownService Kind = "unknownService" // a route leads to a service that is not there
+	UnknownService Kind = "unknownService" // a route leads to a service that is not configured
 	BadRoute       Kind = "badRoute"       // a route has no host, prefix or destination
 )
 
--- a/core/version/site/error.go
+++ b/core/version/site/error.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Kind sorts the errors of this package.
+// Kind is the kind of an error of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Malformed Kind = "malformed" // the text is no site file
-	Invalid   Kind = "invalid"   // the file says something that cannot be
-	Unknown   Kind = "unknown"   // a name that the site does not have
+	Malformed Kind = "malformed" // the text is not a site file
+	Invalid   Kind = "invalid"   // the file conflicts with the site
+	Unknown   Kind = "unknown"   // the name or address is not known
 )
 
 // Error is the error type of this package.
--- a/core/version/site/parse.go
+++ b/core/version/site/parse.go
@@ -2,8 +2,8 @@
 
 import "catkinstep/core/version/check"
 
-// Parse reads a file that a person wrote. The error lists all its mistakes at
-// once (a check.FileErrors), and nothing of a wrong file is used.
+// Parse decodes and validates a site file that an operator wrote. The error is a
+// check.FileErrors with all problems of the file; an invalid file yields an empty Site.
 func Parse(file string, data []byte) (Site, error) {
 	var s Site
 	c, err := check.Decode(file, data, &s)
@@ -11,7 +11,7 @@
 		return Site{}, err
 	}
 	s = s.withDefaults()
-	rules{c}.site(s)
+	validator{c}.checkSite(s)
 	if err := c.Err(); err != nil {
 		return Site{}, err
 	}
--- a/core/version/site/rules.go
+++ b/core/version/site/rules.go
@@ -6,68 +6,67 @@
 	"catkinstep/core/version/check"
 )
 
-// rules are the checks of a site file that no type can express.
-type rules struct{ *check.Checker }
+// validator checks the rules of a site file that the field types do not express.
+type validator struct{ *check.Checker }
 
-// site applies them all.
-func (c rules) site(s Site) {
+func (c validator) checkSite(s Site) {
 	if s.Name == "" {
 		c.Add("name", "missing")
 	}
-	c.services(s)
-	c.dataCentres(s)
-	c.presets(s)
-	for i, o := range s.Outs {
-		if err := s.known(o, "check"); err != nil {
+	c.checkServices(s)
+	c.checkDataCentres(s)
+	c.checkPresets(s)
+	for i, e := range s.Exclusions {
+		if err := s.checkExclusion(e, "check"); err != nil {
 			c.Add(fmt.Sprintf("outs[%d]", i), "%v", err)
 		}
 	}
 }
 
-func (c rules) services(s Site) {
+func (c validator) checkServices(s Site) {
 	if len(s.Services) == 0 {
 		c.Add("services", "missing")
 	}
 	names := map[string]bool{}
 	for i, v := range s.Services {
-		at := fmt.Sprintf("services[%d]", i)
-		c.name(at, v.Name, names)
+		path := fmt.Sprintf("services[%d]", i)
+		c.checkName(path, v.Name, names)
 		if v.Slots < 1 {
-			c.Add(at+".slots", "must be at least 1")
+			c.Add(path+".slots", "must be at least 1")
 		}
-		if v.Connections < v.Slots {
-			c.Add(at+".connections", "must be at least the slots (%d)", v.Slots)
+		if v.MaxConnections < v.Slots {
+			c.Add(path+".connections", "must be at least slots (%d)", v.Slots)
 		}
 		if v.KeySegment < 0 {
-			c.Add(at+".keySegment", "must not be negative")
+			c.Add(path+".keySegment", "must not be negative")
 		}
 		if v.KeyByID && (!v.Keyed || v.KeySegment > 0) {
-			c.Add(at+".keyByID", "needs keyed: true, and no keySegment")
+			c.Add(path+".keyByID", "requires keyed: true and no keySegment")
 		}
-		if v.Attempts < 1 {
-			c.Add(at+".attempts", "must be at least 1")
+		if v.MaxAttempts < 1 {
+			c.Add(path+".attempts", "must be at least 1")
 		}
 		if v.ColdRate < 0 {
-			c.Add(at+".coldRate", "must not be negative")
+			c.Add(path+".coldRate", "must not be negative")
 		}
-		c.share(at+".levels.answered", v.Levels.Answered)
-		c.share(at+".levels.fastShare", v.Levels.FastShare)
+		c.checkShare(path+".levels.answered", v.Objectives.AnsweredShare)
+		c.checkShare(path+".levels.fastShare", v.Objectives.FastShare)
 	}
 }
 
-func (c rules) dataCentres(s Site) {
+func (c validator) checkDataCentres(s Site) {
 	if len(s.DataCentres) == 0 {
 		c.Add("dataCentres", "missing")
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, d := range s.DataCentres {
-		at := fmt.Sprintf("dataCentres[%d]", i)
-		c.name(at, d.Name, names)
+		path := fmt.Sprintf("dataCentres[%d]", i)
+		c.checkName(path, d.Name, names)
 		for j, v := range d.Servers {
-			field := fmt.Sprintf("%s.servers[%d]", at, j)
+			field := fmt.Sprintf("%s.servers[%d]", path, j)
 			c.Address(field+".address", v.Address)
 			if addresses[v.Address] {
-				c.Add(field+".address", "%s stands twice", v.Address)
+				c.Add(field+".address", "%s is listed twice", v.Address)
 			}
 			addresses[v.Address] = true
 			if _, ok := s.Service(v.Service); !ok {
@@ -77,50 +76,50 @@
 	}
 }
 
-func (c rules) presets(s Site) {
+func (c validator) checkPresets(s Site) {
 	names := map[string]bool{}
-	inForce := ""
+	active := ""
 	for i, p := range s.Presets {
-		at := fmt.Sprintf("presets[%d]", i)
-		c.name(at, p.Name, names)
-		if p.InForce && inForce != "" {
-			c.Add(at+".inForce", "two presets in force, %q and %q", inForce, p.Name)
+		path := fmt.Sprintf("presets[%d]", i)
+		c.checkName(path, p.Name, names)
+		if p.Active && active != "" {
+			c.Add(path+".inForce", "two presets have inForce: true, %q and %q", active, p.Name)
 		}
-		if p.InForce {
-			inForce = p.Name
+		if p.Active {
+			active = p.Name
 		}
 		if p.RetryShare < 0 || p.RetryShare > 1 {
-			c.Add(at+".retryShare", "must be between 0 and 1")
+			c.Add(path+".retryShare", "must be between 0 and 1")
 		}
-		for j, d := range p.Out {
+		for j, d := range p.ExcludedDataCentres {
 			if _, ok := s.DataCentre(d); !ok {
-				c.Add(fmt.Sprintf("%s.out[%d]", at, j), "no data centre %q", d)
+				c.Add(fmt.Sprintf("%s.out[%d]", path, j), "no data centre %q", d)
 			}
 		}
 	}
-	if inForce == "" {
+	if active == "" {
 		c.Add("presets", "no preset has inForce: true")
 	}
 }
 
-func (c rules) name(at, name string, seen map[string]bool) {
+func (c validator) checkName(path, name string, seen map[string]bool) {
 	if name == "" {
-		c.Add(at+".name", "missing")
+		c.Add(path+".name", "missing")
 		return
 	}
 	if seen[name] {
-		c.Add(at+".name", "%q stands twice", name)
+		c.Add(path+".name", "%q is used twice", name)
 	}
 	seen[name] = true
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-' {
-			c.Add(at+".name", "%q may hold letters, digits and hyphens only", name)
+			c.Add(path+".name", "%q may contain only letters, digits and hyphens", name)
 			return
 		}
 	}
 }
 
-func (c rules) share(field string, v float64) {
+func (c validator) checkShare(field string, v float64) {
 	if v <= 0 || v > 1 {
 		c.Add(field, "must be above 0 and at most 1")
 	}
--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -9,63 +9,61 @@
 
 // Site is the whole configuration. Treat it as immutable.
 type Site struct {
-	// Name tells sites apart in reports.
-	Name string `yaml:"name"`
-	// Services are what callers can ask for.
-	Services []Service `yaml:"services"`
-	// DataCentres hold the backend servers.
+	// Name identifies the site in reports.
+	Name        string       `yaml:"name"`
+	Services    []Service    `yaml:"services"`
 	DataCentres []DataCentre `yaml:"dataCentres"`
-	// Presets are the operator's prepared settings; one is in force.
+	// Presets are the operator's prepared settings; exactly one is active.
 	Presets []Preset `yaml:"presets"`
-	// Outs are the data centres and hosts marked out.
-	Outs []Out `yaml:"outs,omitempty"`
-	// Change describes the change that made this version, for conflicts.
+	// Exclusions are the data centres and hosts that commands took out of service.
+	Exclusions []Exclusion `yaml:"outs,omitempty"`
+	// Change describes the change that made this version, to report conflicts.
 	Change string `yaml:"change,omitempty"`
-	// Writer is a token unique to the write, by which a writer whose reply was
-	// lost recognises its own change.
-	Writer string `yaml:"writer,omitempty"`
+	// WriteID is unique to each write. A writer that lost the reply recognises its
+	// own change by it.
+	WriteID string `yaml:"writer,omitempty"`
 }
 
 // Service is a set of backend servers that answer the same requests.
 type Service struct {
 	Name string `yaml:"name"`
-	// Keyed services give each key a sole owner.
+	// Keyed is set when each key of the service has exactly one owner.
 	Keyed bool `yaml:"keyed"`
-	// KeySegment is the path segment, counted from 1 after the service's name,
-	// that holds the key; zero means the Catkinstep-Key header.
+	// KeySegment is the path segment that holds the key, counted from 1 after the
+	// service's name; zero means that the Catkinstep-Key header holds it.
 	KeySegment int `yaml:"keySegment,omitempty"`
-	// KeyByID makes each request's id its key, for services that have no keys of their own
-	// and whose bookings must run once although they are sent again.
+	// KeyByID makes the request ID the key, for services without keys of their own
+	// whose bookings must run once even if they are retried.
 	KeyByID bool `yaml:"keyByID,omitempty"`
-	// Slots is how many requests one server runs at once.
+	// Slots is how many requests one server runs concurrently.
 	Slots int `yaml:"slots"`
-	// Connections bounds the connections to one server.
-	Connections int `yaml:"connections"`
-	// Deadline is a caller's time limit when it names none; default 5s.
-	Deadline time.Duration `yaml:"deadline,omitempty"`
-	// Attempts bounds the servers that one request may be sent to; default 2.
-	Attempts int `yaml:"attempts,omitempty"`
-	// Cold is how long a server is cold after its start; default 3s.
-	Cold time.Duration `yaml:"cold,omitempty"`
-	// ColdRate is how many requests a second a cold server bears; default 20.
+	// MaxConnections limits the connections to one server.
+	MaxConnections int `yaml:"connections"`
+	// DefaultTimeout applies to requests without a time limit; default 5s.
+	DefaultTimeout time.Duration `yaml:"deadline,omitempty"`
+	// MaxAttempts limits the number of servers that one request is sent to; default 2.
+	MaxAttempts int `yaml:"attempts,omitempty"`
+	// ColdPeriod is how long a server is cold after its start; default 3s.
+	ColdPeriod time.Duration `yaml:"cold,omitempty"`
+	// ColdRate is how many requests per second a cold server can handle; default 20.
 	ColdRate float64 `yaml:"coldRate,omitempty"`
-	// Idempotent lists the methods that may be run more than once.
-	Idempotent []string `yaml:"idempotent,omitempty"`
-	// Levels are the service levels that the burn report counts against.
-	Levels Levels `yaml:"levels,omitempty"`
-}
-
-// Levels are the promises to callers that the burn report measures.
-type Levels struct {
-	// Answered is the share of requests to be answered, as 0.999.
-	Answered float64 `yaml:"answered,omitempty"`
-	// Within is the latency that FastShare of the answers must keep.
-	Within time.Duration `yaml:"within,omitempty"`
-	// FastShare is the share of answers to be within that latency.
+	// IdempotentMethods are the methods whose requests may run more than once; default
+	// GET and HEAD.
+	IdempotentMethods []string   `yaml:"idempotent,omitempty"`
+	Objectives        Objectives `yaml:"levels,omitempty"`
+}
+
+// Objectives are the service level objectives that the burn report is based on.
+type Objectives struct {
+	// AnsweredShare is the share of requests to be answered; default 0.999.
+	AnsweredShare float64 `yaml:"answered,omitempty"`
+	// LatencyThreshold is the latency that FastShare refers to; default 100ms.
+	LatencyThreshold time.Duration `yaml:"within,omitempty"`
+	// FastShare is the share of answers to arrive within LatencyThreshold; default 0.99.
 	FastShare float64 `yaml:"fastShare,omitempty"`
 }
 
-// DataCentre is a place with entry hosts and backend servers of its own.
+// DataCentre is a location with its own entry hosts and backend servers.
 type DataCentre struct {
 	Name    string   `yaml:"name"`
 	Servers []Server `yaml:"servers"`
@@ -77,27 +75,28 @@
 	Service string `yaml:"service"`
 }
 
-// Preset is a prepared set of limits.
+// Preset is a named set of settings that the operator can switch to.
 type Preset struct {
-	Name string `yaml:"name"`
-	// InForce marks the one preset that counts.
-	InForce bool `yaml:"inForce,omitempty"`
-	// RetryShare bounds retries as a share of requests; default 0.1.
+	Name   string `yaml:"name"`
+	Active bool   `yaml:"inForce,omitempty"`
+	// RetryShare limits retries to a share of the requests; default 0.1.
 	RetryShare float64 `yaml:"retryShare,omitempty"`
-	// KeepKeys leaves busy and slowed servers their keys: fewer moves, longer tails.
-	KeepKeys bool `yaml:"keepKeys,omitempty"`
-	// Out lists data centres that this preset takes out.
-	Out []string `yaml:"out,omitempty"`
+	// DisableRebalancing keeps keys at busy and slow servers instead of moving them
+	// away: fewer moves, but higher tail latency.
+	DisableRebalancing bool `yaml:"keepKeys,omitempty"`
+	// ExcludedDataCentres are out of service while the preset is active.
+	ExcludedDataCentres []string `yaml:"out,omitempty"`
 }
 
-// Out takes a data centre or a host out of service.
-type Out struct {
+// Exclusion takes a data centre or a host out of service. It has no json tags: the
+// operator's status shows it under the Go names of its fields.
+type Exclusion struct {
 	DataCentre string `yaml:"dataCentre,omitempty"`
-	// Host is a backend server's address, or an IP number for all on it.
+	// Host is the address of a backend server, or an IP address for all servers on it.
 	Host string `yaml:"host,omitempty"`
 }
 
-// Marshal gives the stored form of the site.
+// Marshal encodes the site for the store.
 func (s Site) Marshal() ([]byte, error) {
 	data, err := yaml.Marshal(s)
 	if err != nil {
@@ -106,7 +105,7 @@
 	return data, nil
 }
 
-// Unmarshal reads the stored form. Use Parse for text a person wrote.
+// Unmarshal decodes a stored site. Use Parse for a file that an operator wrote.
 func Unmarshal(data []byte) (Site, error) {
 	var s Site
 	if err := yaml.Unmarshal(data, &s); err != nil {
@@ -115,7 +114,7 @@
 	return s.withDefaults(), nil
 }
 
-// Service finds a service by name.
+// Service returns the service with the given name.
 func (s Site) Service(name string) (Service, bool) {
 	for _, v := range s.Services {
 		if v.Name == name {
@@ -125,7 +124,7 @@
 	return Service{}, false
 }
 
-// DataCentre finds a data centre by name.
+// DataCentre returns the data centre with the given name.
 func (s Site) DataCentre(name string) (DataCentre, bool) {
 	for _, d := range s.DataCentres {
 		if d.Name == name {
@@ -135,24 +134,25 @@
 	return DataCentre{}, false
 }
 
-// Preset returns the preset in force.
-func (s Site) Preset() Preset {
+// ActivePreset returns the active preset, or an empty one if none is active.
+func (s Site) ActivePreset() Preset {
 	for _, p := range s.Presets {
-		if p.InForce {
+		if p.Active {
 			return p
 		}
 	}
 	return Preset{}
 }
 
-// DataCentreOut tells whether a data centre is out by a mark or the preset.
-func (s Site) DataCentreOut(name string) bool {
-	for _, o := range s.Outs {
-		if o.DataCentre == name {
+// DataCentreExcluded reports whether a data centre is out of service by an exclusion
+// or by the active preset.
+func (s Site) DataCentreExcluded(name string) bool {
+	for _, e := range s.Exclusions {
+		if e.DataCentre == name {
 			return true
 		}
 	}
-	for _, d := range s.Preset().Out {
+	for _, d := range s.ActivePreset().ExcludedDataCentres {
 		if d == name {
 			return true
 		}
@@ -160,12 +160,12 @@
 	return false
 }
 
-// HostOut tells whether a backend server is marked out.
-func (s Site) HostOut(address string) bool { return s.hostMark(address).Host != "" }
+// HostExcluded reports whether an exclusion takes a backend server out of service.
+func (s Site) HostExcluded(address string) bool { return s.hostExclusion(address).Host != "" }
 
-// Runs tells whether a method of the service may run more than once.
-func (v Service) Runs(method string) (idempotent bool) {
-	for _, m := range v.Idempotent {
+// IsIdempotent reports whether requests with the method may run more than once.
+func (v Service) IsIdempotent(method string) (idempotent bool) {
+	for _, m := range v.IdempotentMethods {
 		if strings.EqualFold(m, method) {
 			return true
 		}
@@ -173,43 +173,43 @@
 	return false
 }
 
-func (s Site) hostMark(address string) Out {
-	for _, o := range s.Outs {
-		if o.Host == "" {
+func (s Site) hostExclusion(address string) Exclusion {
+	for _, e := range s.Exclusions {
+		if e.Host == "" {
 			continue
 		}
-		if o.Host == address || strings.HasPrefix(address, o.Host+":") {
-			return o
+		if e.Host == address || strings.HasPrefix(address, e.Host+":") {
+			return e
 		}
 	}
-	return Out{}
+	return Exclusion{}
 }
 
 func (s Site) withDefaults() Site {
 	services := make([]Service, len(s.Services))
 	for i, v := range s.Services {
-		v.Deadline = or(v.Deadline, 5*time.Second)
-		v.Attempts = or(v.Attempts, 2)
-		v.Cold = or(v.Cold, 3*time.Second)
-		v.ColdRate = or(v.ColdRate, 20)
-		if len(v.Idempotent) == 0 {
-			v.Idempotent = []string{"GET", "HEAD"}
+		v.DefaultTimeout = orDefault(v.DefaultTimeout, 5*time.Second)
+		v.MaxAttempts = orDefault(v.MaxAttempts, 2)
+		v.ColdPeriod = orDefault(v.ColdPeriod, 3*time.Second)
+		v.ColdRate = orDefault(v.ColdRate, 20)
+		if len(v.IdempotentMethods) == 0 {
+			v.IdempotentMethods = []string{"GET", "HEAD"}
 		}
-		v.Levels.Answered = or(v.Levels.Answered, 0.999)
-		v.Levels.Within = or(v.Levels.Within, 100*time.Millisecond)
-		v.Levels.FastShare = or(v.Levels.FastShare, 0.99)
+		v.Objectives.AnsweredShare = orDefault(v.Objectives.AnsweredShare, 0.999)
+		v.Objectives.LatencyThreshold = orDefault(v.Objectives.LatencyThreshold, 100*time.Millisecond)
+		v.Objectives.FastShare = orDefault(v.Objectives.FastShare, 0.99)
 		services[i] = v
 	}
 	presets := make([]Preset, len(s.Presets))
 	for i, p := range s.Presets {
-		p.RetryShare = or(p.RetryShare, 0.1)
+		p.RetryShare = orDefault(p.RetryShare, 0.1)
 		presets[i] = p
 	}
 	s.Services, s.Presets = services, presets
 	return s
 }
 
-func or[T comparable](v, fallback T) T {
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
 		return fallback
--- a/core/version/site/with.go
+++ b/core/version/site/with.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// WithPreset puts the named preset in force and takes every other out of it.
+// WithPreset activates the named preset and deactivates all others.
 func (s Site) WithPreset(name string) (Site, error) {
 	found := false
 	presets := slices.Clone(s.Presets)
 	for i := range presets {
-		presets[i].InForce = presets[i].Name == name
-		found = found || presets[i].InForce
+		presets[i].Active = presets[i].Name == name
+		found = found || presets[i].Active
 	}
 	if !found {
 		return s, &Error{Op: "preset use", Kind: Unknown, Err: fmt.Errorf("no preset %q", name)}
@@ -22,77 +22,79 @@
 	return s, nil
 }
 
-// WithOut marks a data centre or a host out; an older mark of it is replaced.
-func (s Site) WithOut(o Out) (Site, error) {
-	if err := s.known(o, "out"); err != nil {
+// WithExclusion takes a data centre or a host out of service. It replaces an earlier
+// exclusion of the same one.
+func (s Site) WithExclusion(e Exclusion) (Site, error) {
+	if err := s.checkExclusion(e, "out"); err != nil {
 		return s, err
 	}
-	s = s.withoutMark(o)
-	s.Outs = append(s.Outs, o)
-	s.Change = "out " + o.DataCentre + o.Host
+	s = s.removeExclusion(e)
+	s.Exclusions = append(s.Exclusions, e)
+	s.Change = "out " + e.DataCentre + e.Host
 	return s, nil
 }
 
-// WithIn takes a mark away; it is no error when there was none.
-func (s Site) WithIn(o Out) (Site, error) {
-	if err := s.known(o, "in"); err != nil {
+// WithoutExclusion removes an exclusion; removing one that is absent is not an error.
+func (s Site) WithoutExclusion(e Exclusion) (Site, error) {
+	if err := s.checkExclusion(e, "in"); err != nil {
 		return s, err
 	}
-	s = s.withoutMark(o)
-	s.Change = "in " + o.DataCentre + o.Host
+	s = s.removeExclusion(e)
+	s.Change = "in " + e.DataCentre + e.Host
 	return s, nil
 }
 
-// WithWriter stamps the write so that its writer can recognise it later.
-func (s Site) WithWriter(writer string) Site {
-	s.Writer = writer
+// WithWriteID sets the ID by which a writer recognises its own write.
+func (s Site) WithWriteID(id string) Site {
+	s.WriteID = id
 	return s
 }
 
-// WithFile replaces all that the operator's file holds. The marks and the
-// preset in force stay as they are, since they were set by later commands; an
-// operator who adds a server at a peak must not switch the peak off by it.
+// WithFile replaces everything that the operator's file sets. The exclusions and the
+// choice of the active preset stay, since later commands set them: an operator who
+// adds a server while the preset "peak" is active must not deactivate it that way.
+// Exclusions of data centres that the file no longer has are dropped.
 func (s Site) WithFile(file Site) (Site, error) {
 	file.Change = "apply " + file.Name
 	if len(s.Presets) == 0 {
 		return file, nil
 	}
-	force := s.Preset().Name
-	next, err := file.WithPreset(force)
+	active := s.ActivePreset().Name
+	next, err := file.WithPreset(active)
 	if err != nil {
 		return s, &Error{Op: "apply", Kind: Invalid,
-			Err: fmt.Errorf("the file lacks the preset in force, %q: switch to another first", force)}
+			Err: fmt.Errorf("the file lacks the active preset %q: switch to another preset first", active)}
 	}
-	next.Outs = nil
-	for _, o := range s.Outs {
-		if next.known(o, "apply") == nil {
-			next.Outs = append(next.Outs, o)
+	next.Exclusions = nil
+	for _, e := range s.Exclusions {
+		if next.checkExclusion(e, "apply") == nil {
+			next.Exclusions = append(next.Exclusions, e)
 		}
 	}
 	next.Change = file.Change
 	return next, nil
 }
 
-func (s Site) withoutMark(o Out) Site {
-	s.Outs = slices.DeleteFunc(slices.Clone(s.Outs), func(have Out) bool {
-		return have.DataCentre == o.DataCentre && have.Host == o.Host
+func (s Site) removeExclusion(e Exclusion) Site {
+	s.Exclusions = slices.DeleteFunc(slices.Clone(s.Exclusions), func(other Exclusion) bool {
+		return other.DataCentre == e.DataCentre && other.Host == e.Host
 	})
 	return s
 }
 
-func (s Site) known(o Out, op string) error {
-	if o.DataCentre != "" {
-		if _, ok := s.DataCentre(o.DataCentre); !ok {
-			return &Error{Op: op, Kind: Unknown, Err: fmt.Errorf("no data centre %q", o.DataCentre)}
+func (s Site) checkExclusion(e Exclusion, op string) error {
+	if e.DataCentre != "" {
+		if _, ok := s.DataCentre(e.DataCentre); !ok {
+			return &Error{Op: op, Kind: Unknown, Err: fmt.Errorf("no data centre %q", e.DataCentre)}
 		}
 		return nil
 	}
-	// A host may also be an entry host, which no site file names.
-	if _, err := netip.ParseAddr(o.Host); err == nil {
+	// The host may also be an entry host; site files do not list those.
+	if _, err := netip.ParseAddr(e.Host); err == nil {
 		return nil
 	}
-	if _, err := netip.ParseAddrPort(o.Host); err == nil {
+	if _, err := netip.ParseAddrPort(e.Host); err == nil {
 		return nil
 	}
-	return &Error{Op: op, Kind: Unknown, Err: fmt.Errorf("%q is no IP number, with or without a port", o.Host)}
+	return &Error{Op: op, Kind: Unknown, Err: fmt.Errorf("%q is not an IP address, with or without a port", e.Host)}
 }
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -22,10 +22,10 @@
 // Status is what the fleet has in force.
 type Status struct {
 	// Accepted is the version of the stored configuration.
-	Accepted uint64     `json:"accepted"`
-	Preset   string     `json:"preset"`
-	Change   string     `json:"change"`
-	Outs     []site.Out `json:"outs"`
+	Accepted uint64           `json:"accepted"`
+	Preset   string           `json:"preset"`
+	Change   string           `json:"change"`
+	Outs     []site.Exclusion `json:"outs"`
 	// Everywhere is set when all known daemons have the accepted version.
 	Everywhere bool           `json:"everywhere"`
 	Daemons    []DaemonStatus `json:"daemons"`
@@ -60,8 +60,8 @@
 	r.GET("/ready", d.AnswerReady)
 	r.POST("/apply", a.apply)
 	r.POST("/preset", a.preset)
-	r.POST("/out", a.mark(site.Site.WithOut))
-	r.POST("/in", a.mark(site.Site.WithIn))
+	r.POST("/out", a.mark(site.Site.WithExclusion))
+	r.POST("/in", a.mark(site.Site.WithoutExclusion))
 	return a.guard(r)
 }
 
@@ -100,7 +100,7 @@
 	return a.change(w, r, func(s site.Site) (site.Site, error) { return s.WithPreset(in.Name) })
 }
 
-func (a *admin) mark(with func(site.Site, site.Out) (site.Site, error)) bunrouter.HandlerFunc {
+func (a *admin) mark(with func(site.Site, site.Exclusion) (site.Site, error)) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		var in struct {
 			DataCentre string `json:"dataCentre"`
@@ -110,7 +110,7 @@
 			return fail(w, err)
 		}
 		return a.change(w, r, func(s site.Site) (site.Site, error) {
-			return with(s, site.Out{DataCentre: in.DataCentre, Host: in.Host})
+			return with(s, site.Exclusion{DataCentre: in.DataCentre, Host: in.Host})
 		})
 	}
 }
@@ -129,7 +129,7 @@
 	if err != nil {
 		return fail(w, err)
 	}
-	s := Status{Accepted: version, Preset: v.Preset().Name, Change: v.Change, Outs: v.Outs, Everywhere: true}
+	s := Status{Accepted: version, Preset: v.ActivePreset().Name, Change: v.Change, Outs: v.Exclusions, Everywhere: true}
 	fleet := a.daemon.Fleet(r.Context())
 	for _, d := range fleet.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, Site: d.Config}
@@ -163,7 +163,7 @@
 	}
 	var levels []burn.Level
 	for _, s := range v.Services {
-		levels = append(levels, burn.Level{Service: s.Name, Answered: s.Levels.Answered, FastShare: s.Levels.FastShare})
+		levels = append(levels, burn.Level{Service: s.Name, Answered: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
 	}
 	out.Rows = burn.Sum(levels, counts)
 	return writeJSON(w, http.StatusOK, out)
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
-	next = next.WithWriter(rand.Text())
+	next = next.WithWriteID(rand.Text())
 	value, err := next.Marshal()
 	if err != nil {
 		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
-	if now.Writer == next.Writer {
+	if now.WriteID == next.WriteID {
 		return accepted(next, o.Version), nil
 	}
 	return Accepted{}, conflict(now, o.Version)
@@ -106,7 +106,7 @@
 		if err != nil {
 			return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
 		}
-		if now.Writer == next.Writer {
+		if now.WriteID == next.WriteID {
 			return accepted(next, o.Version), nil
 		}
 		return Accepted{}, &Error{Op: "change", Kind: Unsure,
@@ -120,7 +120,7 @@
 }
 
 func accepted(s site.Site, version uint64) Accepted {
-	return Accepted{Version: version, Change: s.Change, Preset: s.Preset().Name}
+	return Accepted{Version: version, Change: s.Change, Preset: s.ActivePreset().Name}
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -20,7 +20,7 @@
 	h := httptest.NewServer(s)
 	c := plat.New(h.Listener.Addr().String(), "duluth")
 	_, err := Change(context.Background(), c, 0, func(site.Site) (site.Site, error) {
-		return site.Site{Name: "s", Presets: []site.Preset{{Name: "ordinary", InForce: true}, {Name: "peak"}}}, nil
+		return site.Site{Name: "s", Presets: []site.Preset{{Name: "ordinary", Active: true}, {Name: "peak"}}}, nil
 	})
 	So(err, ShouldBeNil)
 	return s, c, h.Close
@@ -41,7 +41,7 @@
 			wg.Go(func() {
 				for n := range 50 {
 					host := fmt.Sprintf("10.%d.0.%d", operator, n)
-					_, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithOut(site.Out{Host: host}) })
+					_, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithExclusion(site.Exclusion{Host: host}) })
 					mu.Lock()
 					switch {
 					case err == nil:
@@ -60,9 +60,9 @@
 		v, err := site.Unmarshal(data)
 		So(err, ShouldBeNil)
 		So(len(kept)+refused, ShouldEqual, 100)
-		So(v.Outs, ShouldHaveLength, len(kept))
+		So(v.Exclusions, ShouldHaveLength, len(kept))
 		for _, host := range kept {
-			So(v.HostOut(host+":9000"), ShouldBeTrue)
+			So(v.HostExcluded(host+":9000"), ShouldBeTrue)
 		}
 	})
 }
--- a/io/process/admin/client.go
+++ b/io/process/admin/client.go
@@ -37,12 +37,12 @@
 }
 
 // Out marks a data centre or host out.
-func (c *Client) Out(ctx context.Context, o site.Out) (Accepted, error) {
+func (c *Client) Out(ctx context.Context, o site.Exclusion) (Accepted, error) {
 	return c.change(ctx, "/out", map[string]any{"dataCentre": o.DataCentre, "host": o.Host})
 }
 
 // In takes a mark away.
-func (c *Client) In(ctx context.Context, o site.Out) (Accepted, error) {
+func (c *Client) In(ctx context.Context, o site.Exclusion) (Accepted, error) {
 	return c.change(ctx, "/in", map[string]any{"dataCentre": o.DataCentre, "host": o.Host})
 }
 
--- a/io/process/native/again_test.go
+++ b/io/process/native/again_test.go
@@ -72,7 +72,7 @@
 			}
 		}
 		Convey("also after its key has moved", func() {
-			y.change(func(s site.Site) (site.Site, error) { return s.WithOut(site.Out{Host: holder}) })
+			y.change(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: holder}) })
 			So(within(4*time.Second, func() bool {
 				a := y.ask(y.daemons[1], http.MethodGet, bench, "")
 				return a.status == http.StatusOK && a.answer.Server != holder
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -40,9 +40,9 @@
 func newYard(t *testing.T, daemons int) *yard {
 	y := &yard{t: t, store: store.New(), oracle: oracle.New(), servers: map[string]*server.Server{}, client: http.Client{Timeout: 6 * time.Second}}
 	h := httptest.NewServer(y.store)
-	y.site = site.Site{Name: "yard", Presets: []site.Preset{{Name: "ordinary", InForce: true}}, DataCentres: []site.DataCentre{{Name: "duluth"}},
-		Services: []site.Service{{Name: "intake", Slots: 3, Connections: 30}, {Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, Connections: 30},
-			{Name: "labels", Keyed: true, KeyByID: true, Slots: 3, Connections: 30}}}
+	y.site = site.Site{Name: "yard", Presets: []site.Preset{{Name: "ordinary", Active: true}}, DataCentres: []site.DataCentre{{Name: "duluth"}},
+		Services: []site.Service{{Name: "intake", Slots: 3, MaxConnections: 30}, {Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, MaxConnections: 30},
+			{Name: "labels", Keyed: true, KeyByID: true, Slots: 3, MaxConnections: 30}}}
 	for _, service := range []string{"intake", "intake", "workshop", "workshop", "labels", "labels"} {
 		v := server.New(server.Config{Address: ports.Free(t), Service: service, DataCentre: "duluth", Slots: 3, Keyed: service != "intake", Work: 5 * time.Millisecond}, y.oracle)
 		if err := v.Start(); err != nil {
@@ -192,7 +192,7 @@
 		before := y.ask(d, http.MethodGet, "/workshop/benches/7", "")
 		So(before.status, ShouldEqual, http.StatusOK)
 		out := before.answer.Server
-		y.change(func(s site.Site) (site.Site, error) { return s.WithOut(site.Out{Host: out}) })
+		y.change(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: out}) })
 		So(within(3*time.Second, func() bool {
 			a := y.ask(d, http.MethodGet, "/workshop/benches/7", "")
 			return a.status == http.StatusOK && a.answer.Server != out
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -36,7 +36,7 @@
 		}
 	case news.Outs:
 		for _, d := range s.DataCentres {
-			if s.DataCentreOut(d.Name) {
+			if s.DataCentreExcluded(d.Name) {
 				if err := add(d.Name, struct{}{}); err != nil {
 					return nil, err
 				}
@@ -50,17 +50,17 @@
 // configOf makes two routes of each service: one for the methods that may run
 // more than once, and one for all others.
 func configOf(s site.Site, version uint64) config.Config {
-	c := config.Config{Version: version, RetryShare: s.Preset().RetryShare, KeepKeys: s.Preset().KeepKeys}
+	c := config.Config{Version: version, RetryShare: s.ActivePreset().RetryShare, DisableRebalancing: s.ActivePreset().DisableRebalancing}
 	for _, v := range s.Services {
 		r := config.Route{
-			Name: v.Name, Host: config.AnyHost, Prefix: "/" + v.Name + "/", Strip: "/" + v.Name,
-			Parts:   []config.Part{{Service: v.Name, Weight: 1}},
-			Timeout: v.Deadline, Aim: min(v.Deadline, aimOf(v)), Attempts: v.Attempts, Priority: bookingPriority,
+			Name: v.Name, Host: config.AnyHost, Prefix: "/" + v.Name + "/", StripPrefix: "/" + v.Name,
+			Destinations: []config.Destination{{Service: v.Name, Weight: 1}},
+			Timeout:      v.DefaultTimeout, LatencyTarget: min(v.DefaultTimeout, aimOf(v)), MaxAttempts: v.MaxAttempts, Priority: bookingPriority,
 		}
 		c.Routes = append(c.Routes, r)
-		r.Name, r.Methods, r.Idempotent, r.Priority = v.Name+"Lookups", v.Idempotent, true, lookupPriority
+		r.Name, r.Methods, r.Idempotent, r.Priority = v.Name+"Lookups", v.IdempotentMethods, true, lookupPriority
 		c.Routes = append(c.Routes, r)
-		c.Services = append(c.Services, config.Service{Name: v.Name, Connections: v.Connections, Keyed: v.Keyed, KeySegment: v.KeySegment, KeyByID: v.KeyByID, Cold: v.Cold, ColdRate: v.ColdRate})
+		c.Services = append(c.Services, config.Service{Name: v.Name, MaxConnections: v.MaxConnections, Keyed: v.Keyed, KeySegment: v.KeySegment, KeyByID: v.KeyByID, ColdPeriod: v.ColdPeriod, ColdRate: v.ColdRate})
 	}
 	return c
 }
@@ -75,7 +75,7 @@
 	aimFactor = 4
 )
 
-func aimOf(v site.Service) time.Duration { return aimFactor * v.Levels.Within }
+func aimOf(v site.Service) time.Duration { return aimFactor * v.Objectives.LatencyThreshold }
 
 // serversOf lists the site's servers. They do not register, so nothing tells
 // two lives at one address apart but their answers.
@@ -85,7 +85,7 @@
 		for _, v := range d.Servers {
 			service, _ := s.Service(v.Service)
 			out = append(out, fleet.Server{ID: ServerID(v.Address), Address: v.Address, Service: v.Service, DataCentre: d.Name,
-				Slots: service.Slots, Draining: s.HostOut(v.Address)})
+				Slots: service.Slots, Draining: s.HostExcluded(v.Address)})
 		}
 	}
 	return out
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -205,7 +205,7 @@
 // tried is what is known of the attempts so far, the last of which failed.
 func (r *Router) tried(o *order, notRun bool) retry.Attempt {
 	return retry.Attempt{Idempotent: o.route.Idempotent, NotRun: notRun, MaybeRan: o.maybeRan, Arrived: o.arrived, Unsent: o.unsent,
-		Crashes: r.crashes(o), Most: o.route.Attempts, Left: time.Until(o.deadline), Least: r.leastWorth(o)}
+		Crashes: r.crashes(o), Most: o.route.MaxAttempts, Left: time.Until(o.deadline), Least: r.leastWorth(o)}
 }
 
 func (r *Router) logAttempt(o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error, then string) {
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -54,7 +54,7 @@
 // one is refused at once, so that its caller can do without the answer.
 func (r *Router) awaitOpen(ctx context.Context, o *order, changed <-chan struct{}) bool {
 	r.mu.Lock()
-	latest := o.Read.Add(o.route.Aim - r.spread.Usual(o.need))
+	latest := o.Read.Add(o.route.LatencyTarget - r.spread.Usual(o.need))
 	r.mu.Unlock()
 	if o.opensBy.After(latest) || latest.After(o.deadline) {
 		return false
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -26,7 +26,7 @@
 func lookup(aim time.Duration) *order {
 	now := time.Now()
 	return &order{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
-		route: config.Route{Idempotent: true, Attempts: 2, Aim: aim}, deadline: now.Add(2 * aim),
+		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: aim}, deadline: now.Add(2 * aim),
 		need: spread.Need{Route: "look", Aim: aim, Began: now, Deadline: now.Add(2 * aim), Near: "x"}}
 }
 
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -95,7 +95,7 @@
 		r := still()
 		put := func(revision, version uint64, service string) {
 			v, _ := json.Marshal(config.Config{Version: version, Services: []config.Service{{Name: "s"}},
-				Routes: []config.Route{{Name: "r", Host: "h", Prefix: "/", Parts: []config.Part{{Service: service, Weight: 1}}}}})
+				Routes: []config.Route{{Name: "r", Host: "h", Prefix: "/", Destinations: []config.Destination{{Service: service, Weight: 1}}}}})
 			r.control.update(t0, deltaMsg{delta: news.Delta{Kind: news.Config, Through: revision,
 				Items: []news.Item{{Name: "main", Revision: revision, Value: v}}}})
 		}
--- a/io/process/router/late.go
+++ b/io/process/router/late.go
@@ -21,7 +21,7 @@
 // noteLate logs an answer that came after its aim.
 func (r *Router) noteLate(o *order, c spread.Choice, a *link.Answer) {
 	took := time.Since(o.Read)
-	if took <= o.route.Aim {
+	if took <= o.route.LatencyTarget {
 		return
 	}
 	reason := lateReason(o.attempts(), a.Load)
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -90,7 +90,7 @@
 
 func (c *control) updateFleet(now time.Time) {
 	s := c.r.current.Load()
-	c.keep(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyed(), Out: s.out, Keep: s.config.KeepKeys, Daemons: c.members.Count()})
+	c.keep(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyed(), Out: s.out, Keep: s.config.DisableRebalancing, Daemons: c.members.Count()})
 }
 
 // keep passes a message to the keeper and carries out what it wants.
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -28,7 +28,7 @@
 // grounds are what a decision about a request was made by, with its versions.
 func (r *Router) grounds(o *order, c spread.Choice) []any {
 	s := r.current.Load()
-	return []any{"service", o.service.Name, "key", o.key, "server", c.Server.ID, "expected", c.Expected.String(), "aim", o.route.Aim.String(),
+	return []any{"service", o.service.Name, "key", o.key, "server", c.Server.ID, "expected", c.Expected.String(), "aim", o.route.LatencyTarget.String(),
 		"left", time.Until(o.deadline).String(), "attempts", o.attempts(), "config", s.config.Version, "epoch", s.table.Epoch, "seq", s.table.Seq}
 }
 
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -297,7 +297,7 @@
 
 func (r *Router) callerLimits() caller.Limits {
 	l := r.current.Load().config.Limits
-	out := caller.Limits{HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, Header: l.Header, Idle: l.Idle}
+	out := caller.Limits{HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes, Header: l.HeaderTimeout, Idle: l.IdleTimeout}
 	if out.HeaderBytes <= 0 {
 		out = caller.Limits{HeaderBytes: headerMost, BodyBytes: bodyMost, Header: headerWithin, Idle: idleMost}
 		if r.settings.BodyMost > 0 {
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -70,7 +70,7 @@
 		kind = burn.Refused
 	case reply.Status >= http.StatusInternalServerError:
 		kind = burn.Unknown
-	case took > o.route.Aim:
+	case took > o.route.LatencyTarget:
 		kind = burn.Slow
 	}
 	r.mu.Lock()
@@ -111,8 +111,8 @@
 		r.log.Info("request: no route", "id", id, "host", q.Host, "path", q.URL.Path, "version", s.config.Version)
 		return nil, r.plain(id, http.StatusNotFound, reasonNoRoute)
 	}
-	o := &order{Request: q, id: id, route: route, key: -1, target: strings.TrimPrefix(q.RequestURI, route.Strip)}
-	o.service, _ = s.config.Service(route.Pick(r.draw()))
+	o := &order{Request: q, id: id, route: route, key: -1, target: strings.TrimPrefix(q.RequestURI, route.StripPrefix)}
+	o.service, _ = s.config.Service(route.PickService(r.draw()))
 	o.deadline = q.Read.Add(route.Timeout)
 	if patience, ok := r.protocol.Patience(q.Header); ok && patience < route.Timeout {
 		o.deadline = q.Read.Add(patience)
@@ -123,7 +123,7 @@
 			return nil, r.plain(id, http.StatusBadRequest, reasonNoKey)
 		}
 	}
-	o.need = spread.Need{Route: route.Name, Service: o.service, Aim: route.Aim, Priority: route.Priority,
+	o.need = spread.Need{Route: route.Name, Service: o.service, Aim: route.LatencyTarget, Priority: route.Priority,
 		Began: q.Read, Deadline: o.deadline, Near: r.settings.DataCentre}
 	return o, nil
 }
@@ -163,7 +163,7 @@
 	defer r.mu.Unlock()
 	if o.key >= 0 {
 		k := heatKey{service: o.service.Name, bucket: uint32(keeper.Bucket(o.key))}
-		r.heat[k] = r.heat[k].with(1, r.spread.Usual(o.need), o.route.Aim)
+		r.heat[k] = r.heat[k].with(1, r.spread.Usual(o.need), o.route.LatencyTarget)
 	}
 	b := r.budgets[o.service.Name]
 	if b == nil {
@@ -194,7 +194,7 @@
 	for _, v := range s.fleet.All() {
 		service, _ := s.config.Service(v.Service)
 		if v.DataCentre == dataCentre {
-			r.spread.AssumeCold(v, time.Now().Add(service.Cold))
+			r.spread.AssumeCold(v, time.Now().Add(service.ColdPeriod))
 		}
 	}
 }
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -38,7 +38,7 @@
 func TestCountsBearWorkAndAim(t *testing.T) {
 	Convey("Each request adds its work and its aim", t, func() {
 		r := still()
-		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Aim: 300 * time.Millisecond},
+		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
 			need: spread.Need{Route: "look", Aim: 300 * time.Millisecond}}
 		r.count(o)
 		r.count(o)
@@ -58,7 +58,7 @@
 		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{
 			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}}}}}))
 		now := time.Now()
-		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, Attempts: 2, Aim: time.Second},
+		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: time.Second},
 			need: spread.Need{Route: "look", Aim: time.Second, Began: now, Deadline: now.Add(3 * time.Second), Near: "x"}}
 		v, c := r.owner(r.current.Load(), o, now)
 		So(c.Refused(), ShouldBeFalse)
@@ -83,7 +83,7 @@
 func TestCrashesAreHeeded(t *testing.T) {
 	crashed := func(servers ...string) (*Router, *order) {
 		r, o := still(), lookup(time.Second)
-		o.route.Attempts = 9
+		o.route.MaxAttempts = 9
 		for _, s := range servers {
 			r.lost(o, s)
 		}
--- a/io/standin/bench/bench.go
+++ b/io/standin/bench/bench.go
@@ -230,7 +230,7 @@
 	for i, s := range r.stage.Site().Services {
 		r.gens = append(r.gens, load.New(load.Config{
 			Service: s.Name, Path: "/items/KEY", Rate: r.rate, Bookings: r.scenario.bookings,
-			Keys: 20000, Skew: r.scenario.skew, Timeout: s.Deadline, RunsOnce: s.Keyed, Seed: r.seed*100 + uint64(i),
+			Keys: 20000, Skew: r.scenario.skew, Timeout: s.DefaultTimeout, RunsOnce: s.Keyed, Seed: r.seed*100 + uint64(i),
 		}, r, r.stage.Oracle))
 	}
 	warm, cancel := context.WithTimeout(ctx, warmFor)
--- a/io/standin/direct/direct.go
+++ b/io/standin/direct/direct.go
@@ -94,7 +94,7 @@
 	}
 	timeout, err := time.ParseDuration(r.Header.Get("Catkinstep-Timeout"))
 	if err != nil {
-		timeout = service.Deadline
+		timeout = service.DefaultTimeout
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
@@ -113,7 +113,7 @@
 			return
 		}
 		outcome = got
-		if !service.Runs(r.Method) && outcome != "notRun" {
+		if !service.IsIdempotent(r.Method) && outcome != "notRun" {
 			break
 		}
 	}
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -11,8 +11,8 @@
 	return plan("lakeshore",
 		[]string{"duluth", "marquette", "toledo", "oswego"},
 		[]site.Service{
-			{Name: "intake", Slots: 3, Connections: 110},
-			{Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, Connections: 110},
+			{Name: "intake", Slots: 3, MaxConnections: 110},
+			{Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, MaxConnections: 110},
 		},
 		map[string]int{"intake": 12, "workshop": 15})
 }
@@ -22,8 +22,8 @@
 	return plan("graniteHearth",
 		[]string{"barre", "keene", "camden", "rutland"},
 		[]site.Service{
-			{Name: "cord-orders", Slots: 4, Connections: 50},
-			{Name: "haul-board", Keyed: true, KeySegment: 2, Slots: 4, Connections: 50},
+			{Name: "cord-orders", Slots: 4, MaxConnections: 50},
+			{Name: "haul-board", Keyed: true, KeySegment: 2, Slots: 4, MaxConnections: 50},
 		},
 		map[string]int{"cord-orders": 11, "haul-board": 13})
 }
@@ -32,7 +32,7 @@
 // data centre and one more in the first.
 func plan(name string, places []string, services []site.Service, servers map[string]int) Plan {
 	s := site.Site{Name: name, Presets: []site.Preset{
-		{Name: "ordinary", InForce: true, RetryShare: 0.1},
+		{Name: "ordinary", Active: true, RetryShare: 0.1},
 		{Name: "peak", RetryShare: 0.05},
 		{Name: "maintenance", RetryShare: 0.1},
 	}}
@@ -46,7 +46,7 @@
 	}
 	next := 0
 	for _, v := range services {
-		v.Deadline = 2 * time.Second
+		v.DefaultTimeout = 2 * time.Second
 		v.ColdRate = 40
 		s.Services = append(s.Services, v)
 		for range servers[v.Name] {
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -148,7 +148,7 @@
 			s, _ := r.plan.Site.Service(v.Service)
 			sv := server.New(server.Config{
 				Address: v.Address, Service: v.Service, DataCentre: d.Name, Slots: s.Slots,
-				Keyed: s.Keyed && !r.bare, Work: r.plan.Work, Cold: s.Cold, ColdRate: s.ColdRate, Seed: n,
+				Keyed: s.Keyed && !r.bare, Work: r.plan.Work, Cold: s.ColdPeriod, ColdRate: s.ColdRate, Seed: n,
 			}, r.Oracle)
 			if err := sv.Start(); err != nil {
 				return err
