--- a/cmd/catkinstep/losses.go
+++ b/cmd/catkinstep/losses.go
@@ -62,7 +62,7 @@
 func (c *lossesCmd) print(t *loss.Tally) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, table := range []struct {
-		by    loss.By
+		by    loss.Dimension
 		title string
 		most  int
 	}{{loss.ByCause, "CAUSE", c.Most}, {loss.ByRoute, "ROUTE", c.Most}, {loss.ByTime, "TIME", 0}, {loss.ByServer, "SERVER", c.Most}, {loss.ByKeys, "KEYS", c.Most}} {
@@ -79,7 +79,7 @@
 			fmt.Fprintf(w, "%d more\t\t\t\n", len(rows)-most)
 			break
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s (%d)\t\n", r.Of, r.Lost, r.Cause, r.OfCause)
+		fmt.Fprintf(w, "%s\t%d\t%s (%d)\t\n", r.Group, r.Lost, r.TopCause, r.TopCauseCount)
 	}
 	fmt.Fprintln(w)
 }
--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -160,8 +160,8 @@
 		if place == "" {
 			place = "all"
 		}
-		if v.Known < v.Window {
-			gap = (v.Window - v.Known).Round(time.Second).String()
+		if v.ObservedFor < v.Window {
+			gap = (v.Window - v.ObservedFor).Round(time.Second).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%.2f\t%.2f\t%s\t%s\t\n", v.Service, place, v.Window, v.Requests, v.AnsweredBurn, v.FastBurn, v.Cause, gap)
 	}
--- a/core/process/boot/boot.go
+++ b/core/process/boot/boot.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// longest is how long after a start requests wait at most. Lists that are not there
-	// by then are likely not to come soon: the store is away.
-	longest = 700 * time.Millisecond
-	// share is the part of a caller's time that may be spent waiting: the rest must do
-	// for the answer.
-	share = 0.3
+	// bootTimeout is how long after the start requests wait at most. If the lists are
+	// missing by then, the store is probably unreachable and they won't come soon.
+	bootTimeout = 700 * time.Millisecond
+	// maxWaitShare is the share of the caller's timeout that a request may wait. The
+	// rest is left for running the request.
+	maxWaitShare = 0.3
 )
 
-// Boot is the time from a daemon's start until it knows what requests need. It is
-// immutable.
+// Boot is the phase from a daemon's start until it has read the lists that serving
+// requests needs. It is immutable.
 type Boot struct {
-	began   time.Time
-	missing []news.Kind
+	startedAt time.Time
+	pending   []news.Kind
 }
 
-// New returns the Boot of a daemon that starts now and knows nothing.
+// New returns the Boot of a daemon that starts now and has read no list.
 func New(now time.Time) Boot {
-	return Boot{began: now, missing: []news.Kind{news.Config, news.Servers, news.Tables}}
+	return Boot{startedAt: now, pending: []news.Kind{news.Config, news.Servers, news.Tables}}
 }
 
-// WithKnown returns the Boot after the first list of a kind was read.
-func (b Boot) WithKnown(kind news.Kind) Boot {
-	b.missing = slices.DeleteFunc(slices.Clone(b.missing), func(k news.Kind) bool { return k == kind })
+// WithLoaded returns the Boot after the first list of a kind was read.
+func (b Boot) WithLoaded(kind news.Kind) Boot {
+	b.pending = slices.DeleteFunc(slices.Clone(b.pending), func(k news.Kind) bool { return k == kind })
 	return b
 }
 
-// Over tells whether requests need not wait any more.
-func (b Boot) Over(now time.Time) bool { return len(b.missing) == 0 || b.left(now) <= 0 }
+// Done reports whether requests no longer wait: all lists are read, or bootTimeout has
+// passed.
+func (b Boot) Done(now time.Time) bool { return len(b.pending) == 0 || b.remaining(now) <= 0 }
 
-// Wait is how long a request may wait whose caller waits for so long; 0 patience means
-// that it did not say.
-func (b Boot) Wait(now time.Time, patience time.Duration) time.Duration {
-	if b.Over(now) {
+// MaxWait returns how long a request may wait for the lists. A callerTimeout of 0 means
+// that the caller did not set one.
+func (b Boot) MaxWait(now time.Time, callerTimeout time.Duration) time.Duration {
+	if b.Done(now) {
 		return 0
 	}
-	if patience > 0 {
-		return min(b.left(now), time.Duration(share*float64(patience)))
+	if callerTimeout > 0 {
+		return min(b.remaining(now), time.Duration(maxWaitShare*float64(callerTimeout)))
 	}
-	return b.left(now)
+	return b.remaining(now)
 }
 
-func (b Boot) left(now time.Time) time.Duration { return b.began.Add(longest).Sub(now) }
+func (b Boot) remaining(now time.Time) time.Duration { return b.startedAt.Add(bootTimeout).Sub(now) }
--- a/core/process/boot/doc.go
+++ b/core/process/boot/doc.go
@@ -1,15 +1,16 @@
 // Package boot decides how long requests wait at a daemon that has just started.
 //
-// The load pattern: all hosts of a site lose power and return together, while callers go
-// on. Each daemon needs a few hundred milliseconds for its first lists from the store.
-// Whoever comes meanwhile would be refused, by every host of the site, although the
-// answer could be there soon after; instead they wait until the lists are read. Where
-// the store does not answer, requests are refused as soon as that is likely.
+// It covers the case that all hosts of a site lose power and restart together while
+// callers keep sending requests. Each daemon needs a few hundred milliseconds to read its
+// first lists from the store. Without a wait, every host of the site would refuse the
+// requests of that time, although they could be answered soon after. So requests wait
+// until the lists are read. If the store does not answer in the time that this usually
+// takes, requests are refused.
 //
-// Usage:
+// # Usage
 //
 //	b := boot.New(now)
-//	wait := b.Wait(now, patience)
-//	b = b.WithKnown(news.Config)
-//	over := b.Over(now)
+//	wait := b.MaxWait(now, callerTimeout)
+//	b = b.WithLoaded(news.Config)
+//	done := b.Done(now)
 package boot
--- a/core/process/burn/burn.go
+++ b/core/process/burn/burn.go
@@ -1,15 +1,16 @@
-// Package burn counts how the service levels of a site are kept, and works out
-// how fast their error budgets burn over several windows, and what burns them.
+// Package burn counts the outcomes of requests and computes how fast they burn the
+// error budgets of the services' objectives over several windows, and the main cause.
 //
 // # Usage
 //
 //	m := burn.New(now)
 //	m.Count(now, "intake", burn.Slow)
-//	c := m.Counts(now)                       // of one daemon
-//	r := burn.Sum(levels, counts)            // of the fleet
+//	c := m.Counts(now, dataCentre)           // of one daemon
+//	rows := burn.Rates(objectives, counts)   // of all daemons
 //
-// A Meter is used under one lock. A daemon that has just started does not know
-// the time before; Counts says how long it knows. Nothing here fails.
+// A Meter is not safe for concurrent use: its caller holds a lock. A daemon has no
+// counts from before its start; Counts.ObservedFor is how long it has counted. Nothing
+// here fails.
 package burn
 
 import (
@@ -17,41 +18,42 @@
 	"time"
 )
 
-// Kind is how a request ended, as far as service levels go.
-type Kind int
+// Outcome is how a request ended, as far as objectives go.
+type Outcome int
 
-// Kinds of ends.
+// Outcomes of requests.
 const (
-	Good    Kind = iota // answered in time
-	Slow                // answered late
-	Refused             // not run
-	Unknown             // outcome unknown
-	kinds
+	Good    Outcome = iota // answered within the latency target
+	Slow                   // answered after the latency target
+	Refused                // refused without being run
+	Unknown                // failed; the request may have run
+	outcomeCount
 )
 
 const (
-	bucket  = 5 * time.Second
-	buckets = 720 // one hour
+	bucketLength = 5 * time.Second
+	bucketCount  = 720 // one hour
 )
 
-// Windows are the spans that are reported.
+// Windows returns the time windows of the report, which end now.
 func Windows() []time.Duration {
 	return []time.Duration{time.Minute, 5 * time.Minute, 30 * time.Minute, time.Hour}
 }
 
-// Meter counts one daemon's requests.
+// Meter counts one daemon's requests of the last hour, in a ring of buckets for each
+// service.
 type Meter struct {
-	began    time.Time
-	services map[string]*[buckets]cell
+	startedAt time.Time
+	services  map[string]*[bucketCount]bucket
 }
 
-type cell struct {
-	at int64 // the bucket's number since the start
-	n  [kinds]uint64
+type bucket struct {
+	index  int64 // number of buckets since the start; -1 while unused
+	counts [outcomeCount]uint64
 }
 
-// Count is what one service had in one window at one daemon.
-type Count struct {
+// WindowCounts are the requests to one service in one window at one daemon, by outcome.
+type WindowCounts struct {
 	Window  time.Duration `json:"window"`
 	Good    uint64        `json:"good"`
 	Slow    uint64        `json:"slow"`
@@ -59,49 +61,52 @@
 	Unknown uint64        `json:"unknown"`
 }
 
-// Counts is all that one daemon knows.
+// Counts are the counts of one daemon.
 type Counts struct {
 	DataCentre string `json:"dataCentre"`
-	// Known is how long this daemon has counted.
-	Known    time.Duration      `json:"known"`
-	Services map[string][]Count `json:"services"`
+	// ObservedFor is how long this daemon has counted.
+	ObservedFor time.Duration `json:"known"`
+	// Services holds the counts of each service, in the order of Windows.
+	Services map[string][]WindowCounts `json:"services"`
 }
 
-// New returns a Meter that begins to count now.
-func New(now time.Time) *Meter { return &Meter{began: now, services: map[string]*[buckets]cell{}} }
+// New returns a Meter that starts to count now.
+func New(now time.Time) *Meter {
+	return &Meter{startedAt: now, services: map[string]*[bucketCount]bucket{}}
+}
 
-// Count notes the end of a request.
-func (m *Meter) Count(now time.Time, service string, k Kind) {
+// Count records the outcome of a request.
+func (m *Meter) Count(now time.Time, service string, o Outcome) {
 	ring := m.services[service]
 	if ring == nil {
-		ring = &[buckets]cell{}
+		ring = &[bucketCount]bucket{}
 		for i := range ring {
-			ring[i].at = -1
+			ring[i].index = -1
 		}
 		m.services[service] = ring
 	}
-	at := int64(now.Sub(m.began) / bucket)
-	c := &ring[at%buckets]
-	if c.at != at {
-		*c = cell{at: at}
+	index := int64(now.Sub(m.startedAt) / bucketLength)
+	b := &ring[index%bucketCount]
+	if b.index != index {
+		*b = bucket{index: index}
 	}
-	c.n[k]++
+	b.counts[o]++
 }
 
-// Counts adds up the windows.
+// Counts returns the counts of all services over all windows.
 func (m *Meter) Counts(now time.Time, dataCentre string) Counts {
-	out := Counts{DataCentre: dataCentre, Known: now.Sub(m.began), Services: map[string][]Count{}}
-	last := int64(now.Sub(m.began) / bucket)
+	out := Counts{DataCentre: dataCentre, ObservedFor: now.Sub(m.startedAt), Services: map[string][]WindowCounts{}}
+	last := int64(now.Sub(m.startedAt) / bucketLength)
 	for name, ring := range m.services {
-		for _, w := range Windows() {
-			c := Count{Window: w}
-			first := last - int64(w/bucket) + 1
+		for _, window := range Windows() {
+			c := WindowCounts{Window: window}
+			first := last - int64(window/bucketLength) + 1
 			for i := range ring {
-				if at := ring[i].at; at >= 0 && at >= first && at <= last {
-					c.Good += ring[i].n[Good]
-					c.Slow += ring[i].n[Slow]
-					c.Refused += ring[i].n[Refused]
-					c.Unknown += ring[i].n[Unknown]
+				if index := ring[i].index; index >= 0 && index >= first && index <= last {
+					c.Good += ring[i].counts[Good]
+					c.Slow += ring[i].counts[Slow]
+					c.Refused += ring[i].counts[Refused]
+					c.Unknown += ring[i].counts[Unknown]
 				}
 			}
 			out.Services[name] = append(out.Services[name], c)
@@ -110,93 +115,99 @@
 	return out
 }
 
-// Level is a service's promise.
-type Level struct {
-	Service   string
-	Answered  float64
-	FastShare float64
+// Objective is the service level objective of a service.
+type Objective struct {
+	Service       string
+	AnsweredShare float64
+	FastShare     float64
 }
 
-// Row is the burn of one service over one window, in one data centre or, with
-// DataCentre empty, in all.
+// Row holds the burn rates of one service over one window, in one data centre or, with
+// an empty DataCentre, in all of them.
 type Row struct {
 	Service    string        `json:"service"`
 	DataCentre string        `json:"dataCentre"`
 	Window     time.Duration `json:"window"`
 	Requests   uint64        `json:"requests"`
-	// AnsweredBurn and FastBurn are multiples of the rate that spends the error
-	// budget exactly; above 1 the level is being missed.
+	// AnsweredBurn and FastBurn are burn rates: at 1 the error budget is used up
+	// exactly, above 1 the objective is missed.
 	AnsweredBurn float64 `json:"answeredBurn"`
 	FastBurn     float64 `json:"fastBurn"`
-	// Cause names what burned most: slow answers, refusals, unknown outcomes.
+	// Cause is the most frequent cause: slow answers, refusals or unknown outcomes,
+	// or none.
 	Cause string `json:"cause"`
-	// Known is the shortest time that a daemon has counted, if less than the
-	// window: the rest of the window is not known there.
-	Known time.Duration `json:"known"`
+	// ObservedFor is the shortest time that a daemon has counted, at most the window.
+	// If it is less, counts for the rest of the window are missing.
+	ObservedFor time.Duration `json:"known"`
 }
 
-// Sum adds up the counts of a fleet.
-func Sum(levels []Level, fleet []Counts) []Row {
-	var places []string
+// Rates returns a row for each objective and window, first for all data centres
+// together and then for each.
+func Rates(objectives []Objective, fleet []Counts) []Row {
+	var dataCentres []string
 	for _, c := range fleet {
-		if !slices.Contains(places, c.DataCentre) {
-			places = append(places, c.DataCentre)
+		if !slices.Contains(dataCentres, c.DataCentre) {
+			dataCentres = append(dataCentres, c.DataCentre)
 		}
 	}
-	slices.Sort(places)
+	slices.Sort(dataCentres)
 	var rows []Row
-	for _, l := range levels {
-		for i, w := range Windows() {
-			for _, place := range append([]string{""}, places...) {
-				rows = append(rows, sum(l, i, w, place, fleet))
+	for _, o := range objectives {
+		for i, window := range Windows() {
+			for _, dataCentre := range append([]string{""}, dataCentres...) {
+				rows = append(rows, rowFor(o, i, window, dataCentre, fleet))
 			}
 		}
 	}
 	return rows
 }
 
-func sum(l Level, window int, w time.Duration, place string, fleet []Counts) Row {
-	r := Row{Service: l.Service, DataCentre: place, Window: w, Known: w}
-	var total Count
+// rowFor returns one row; index is the position of window in Windows.
+func rowFor(o Objective, index int, window time.Duration, dataCentre string, fleet []Counts) Row {
+	r := Row{Service: o.Service, DataCentre: dataCentre, Window: window, ObservedFor: window}
+	var total WindowCounts
 	for _, c := range fleet {
-		if place != "" && c.DataCentre != place {
+		if dataCentre != "" && c.DataCentre != dataCentre {
 			continue
 		}
-		r.Known = min(r.Known, c.Known)
-		if s := c.Services[l.Service]; window < len(s) {
-			total.Good += s[window].Good
-			total.Slow += s[window].Slow
-			total.Refused += s[window].Refused
-			total.Unknown += s[window].Unknown
+		r.ObservedFor = min(r.ObservedFor, c.ObservedFor)
+		if s := c.Services[o.Service]; index < len(s) {
+			total.Good += s[index].Good
+			total.Slow += s[index].Slow
+			total.Refused += s[index].Refused
+			total.Unknown += s[index].Unknown
 		}
 	}
 	answered := total.Good + total.Slow
 	r.Requests = answered + total.Refused + total.Unknown
 	if r.Requests > 0 {
-		r.AnsweredBurn = rate(float64(total.Refused+total.Unknown)/float64(r.Requests), l.Answered)
+		r.AnsweredBurn = burnRate(float64(total.Refused+total.Unknown)/float64(r.Requests), o.AnsweredShare)
 	}
 	if answered > 0 {
-		r.FastBurn = rate(float64(total.Slow)/float64(answered), l.FastShare)
+		r.FastBurn = burnRate(float64(total.Slow)/float64(answered), o.FastShare)
 	}
-	r.Cause = cause(total)
+	r.Cause = mainCause(total)
 	return r
 }
 
-func rate(bad, level float64) float64 {
-	if level >= 1 {
-		level = 0.999999
+// burnRate returns the share of bad requests relative to the share that the objective
+// allows. An objective of 1 allows none, so it counts as 0.999999 to avoid a division
+// by zero.
+func burnRate(badShare, objective float64) float64 {
+	if objective >= 1 {
+		objective = 0.999999
 	}
-	return bad / (1 - level)
+	return badShare / (1 - objective)
 }
 
-func cause(c Count) string {
-	worst, name := uint64(0), "none"
+func mainCause(c WindowCounts) string {
+	most, name := uint64(0), "none"
 	for _, v := range []struct {
 		n    uint64
 		name string
 	}{{c.Slow, "slow answers"}, {c.Refused, "refusals"}, {c.Unknown, "unknown outcomes"}} {
-		if v.n > worst {
-			worst, name = v.n, v.name
+		if v.n > most {
+			most, name = v.n, v.name
 		}
 	}
 	return name
--- a/core/process/loss/doc.go
+++ b/core/process/loss/doc.go
@@ -1,13 +1,14 @@
-// Package loss sorts the requests that daemons logged as not answered within their
-// aim by cause, route, second, server and keys: it says what binds on a bad day.
+// Package loss counts the requests that daemons logged as not answered within their
+// latency target. It groups them by cause, route, time, server and key range, to show
+// what limits the system under overload or failures.
 //
 // # Usage
 //
 //	t := loss.New(2 * time.Second)
-//	if l, ok, err := loss.Parse(line); err == nil && ok {
-//		t.Add(l)
+//	if e, ok, err := loss.Parse(line); err == nil && ok {
+//		t.Add(e)
 //	}
 //	for _, row := range t.Rows(loss.ByCause) { ... }
 //
-// Parse returns errors of encoding/json; nothing else here fails.
+// Parse returns the errors of encoding/json; nothing else here fails.
 package loss
--- a/core/process/loss/line.go
+++ b/core/process/loss/line.go
@@ -9,66 +9,67 @@
 	"catkinstep/core/version/grant"
 )
 
-// Messages of the lines that tell of a lost request.
+// Messages of the log entries for lost requests.
 const (
-	// Refused requests did not run.
+	// Refused is logged for a request that was refused and did not run.
 	Refused = "request: refused, not run"
-	// GivenUp requests may have run.
+	// GivenUp is logged for a request that failed and may have run.
 	GivenUp = "request: given up, may have run"
-	// Late requests were answered after their aim.
+	// Late is logged for a request that was answered after its latency target.
 	Late = "request: answered late"
 )
 
-// Line is what the log says of one lost request.
-type Line struct {
+// Entry is the log entry of one lost request.
+type Entry struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
 	Route   string    `json:"route"`
 	Service string    `json:"service"`
 	Reason  string    `json:"reason"`
 	Server  string    `json:"server"`
-	// Key is -1 where the service has none.
+	// Key is -1 if the request has no key.
 	Key int `json:"key"`
 }
 
-// Parse reads a line of a daemon's log. What stands before the object, as the time
-// and the name that a collector adds, is skipped; ok is false for lines that tell
-// of no lost request.
-func Parse(line []byte) (l Line, ok bool, err error) {
-	at := bytes.IndexByte(line, '{')
-	if at < 0 || !bytes.Contains(line[at:], []byte(`"msg":"request: `)) {
-		return l, false, nil
+// Parse decodes a line of a daemon's log. It skips anything before the JSON object, such
+// as the time and host name that a log collector adds. ok is false if the line is not
+// about a lost request.
+func Parse(line []byte) (e Entry, ok bool, err error) {
+	start := bytes.IndexByte(line, '{')
+	if start < 0 || !bytes.Contains(line[start:], []byte(`"msg":"request: `)) {
+		return e, false, nil
 	}
-	l.Key = noKey
-	if err := json.Unmarshal(line[at:], &l); err != nil {
-		return l, false, err
+	e.Key = noKey
+	if err := json.Unmarshal(line[start:], &e); err != nil {
+		return e, false, err
 	}
-	return l, l.Message == Refused || l.Message == GivenUp || l.Message == Late, nil
+	return e, e.Message == Refused || e.Message == GivenUp || e.Message == Late, nil
 }
 
 const noKey = -1
 
-// cause names what lost the request.
-func (l Line) cause() string {
-	switch l.Message {
+// cause returns why the request was lost.
+func (e Entry) cause() string {
+	switch e.Message {
 	case Late:
-		return "late: " + l.Reason
+		return "late: " + e.Reason
 	case GivenUp:
-		return "failed: " + l.Reason
+		return "failed: " + e.Reason
 	default:
-		return "refused: " + l.Reason
+		return "refused: " + e.Reason
 	}
 }
 
-// keyParts is how many parts the keys are counted in.
-const keyParts = 64
+// keyRangeCount is the number of equal ranges that keys are grouped into.
+const keyRangeCount = 64
 
-// keys names the part of the keys that a request was for.
-func (l Line) keys() string {
-	if l.Key < 0 || l.Key > grant.LastKey {
+// keyRange returns the service and range of the request's key, or an empty string if it
+// has no key.
+func (e Entry) keyRange() string {
+	if e.Key < 0 || e.Key > grant.LastKey {
 		return ""
 	}
-	size := (grant.LastKey + 1) / keyParts
-	from := l.Key / size * size
-	return l.Service + " " + strconv.Itoa(from) + "-" + strconv.Itoa(from+size-1)
+	size := (grant.LastKey + 1) / keyRangeCount
+	from := e.Key / size * size
+	return e.Service + " " + strconv.Itoa(from) + "-" + strconv.Itoa(from+size-1)
 }
--- a/core/process/loss/loss_test.go
+++ b/core/process/loss/loss_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against lost requests that no cause, time or key is counted for.
+// Guards against lost requests that are missing from the counts by cause, time or key.
 func TestTally(t *testing.T) {
 	lines := []string{
 		`12.5 host1 {"time":"2026-12-03T06:00:01.5Z","msg":"request: refused, not run","route":"look","service":"s","reason":"allBusy","server":"a","key":1030}`,
@@ -19,31 +19,31 @@
 	}
 	tally := New(2 * time.Second)
 	for _, text := range lines {
-		l, ok, err := Parse([]byte(text))
+		entry, ok, err := Parse([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if ok {
-			tally.Add(l)
+			tally.Add(entry)
 		}
 	}
-	Convey("Causes are counted, the most frequent first", t, func() {
+	Convey("Causes are listed with the most frequent first", t, func() {
 		So(tally.Rows(ByCause), ShouldResemble, []Row{
-			{Of: "refused: allBusy", Lost: 2, Cause: "refused: allBusy", OfCause: 2},
-			{Of: "failed: attemptFailed", Lost: 1, Cause: "failed: attemptFailed", OfCause: 1},
-			{Of: "late: waited", Lost: 1, Cause: "late: waited", OfCause: 1},
+			{Group: "refused: allBusy", Lost: 2, TopCause: "refused: allBusy", TopCauseCount: 2},
+			{Group: "failed: attemptFailed", Lost: 1, TopCause: "failed: attemptFailed", TopCauseCount: 1},
+			{Group: "late: waited", Lost: 1, TopCause: "late: waited", TopCauseCount: 1},
 		})
 	})
-	Convey("Times come in their order", t, func() {
+	Convey("Times are listed in chronological order", t, func() {
 		rows := tally.Rows(ByTime)
 		So(rows, ShouldHaveLength, 2)
-		So(rows[0].Of, ShouldEqual, "06:00:00.0")
+		So(rows[0].Group, ShouldEqual, "06:00:00.0")
 		So(rows[1].Lost, ShouldEqual, 3)
 	})
-	Convey("Only requests with a key count for keys", t, func() {
-		So(tally.Rows(ByKeys), ShouldResemble, []Row{{Of: "s 1024-2047", Lost: 2, Cause: "refused: allBusy", OfCause: 2}})
+	Convey("Only requests with a key are counted by key range", t, func() {
+		So(tally.Rows(ByKeys), ShouldResemble, []Row{{Group: "s 1024-2047", Lost: 2, TopCause: "refused: allBusy", TopCauseCount: 2}})
 	})
-	Convey("A broken line is an error", t, func() {
+	Convey("A truncated line is an error", t, func() {
 		_, _, err := Parse([]byte(`{"time":"2026-12-03T06:00:02.3Z","msg":"request: refused, not ru`))
 		So(err, ShouldNotBeNil)
 	})
--- a/core/process/loss/tally.go
+++ b/core/process/loss/tally.go
@@ -6,85 +6,85 @@
 	"time"
 )
 
-// By is what lost requests are sorted by.
-type By int
+// Dimension is what lost requests are grouped by.
+type Dimension int
 
-// Orders of a Tally.
+// Dimensions of a Tally.
 const (
-	ByCause By = iota
+	ByCause Dimension = iota
 	ByRoute
 	ByTime
 	ByServer
 	ByKeys
-	orders
+	dimensionCount
 )
 
-// Row is one line of a table: how many requests were lost of what, and their most
+// Row is the number of lost requests of one group, such as one route, and their most
 // frequent cause.
 type Row struct {
-	Of    string
-	Lost  int
-	Cause string
-	// OfCause is how many of them had that cause.
-	OfCause int
+	Group    string
+	Lost     int
+	TopCause string
+	// TopCauseCount is the number of lost requests with that cause.
+	TopCauseCount int
 }
 
-// causes counts lost requests by cause.
-type causes map[string]int
+// causeCounts maps a cause to its number of lost requests.
+type causeCounts map[string]int
 
-// Tally counts lost requests.
+// Tally counts lost requests by dimension, group and cause.
 type Tally struct {
-	window time.Duration
-	counts [orders]map[string]causes
+	interval time.Duration
+	counts   [dimensionCount]map[string]causeCounts
 }
 
-// New returns an empty Tally that tells windows of time apart.
-func New(window time.Duration) *Tally {
-	t := &Tally{window: window}
+// New returns an empty Tally that groups times into intervals of the given length.
+func New(interval time.Duration) *Tally {
+	t := &Tally{interval: interval}
 	for i := range t.counts {
-		t.counts[i] = map[string]causes{}
+		t.counts[i] = map[string]causeCounts{}
 	}
 	return t
 }
 
 // Add counts a lost request.
-func (t *Tally) Add(l Line) {
-	of := [orders]string{
-		ByCause: l.cause(), ByRoute: l.Route, ByTime: l.Time.UTC().Truncate(t.window).Format("15:04:05.0"), ByServer: l.Server, ByKeys: l.keys(),
+func (t *Tally) Add(e Entry) {
+	groups := [dimensionCount]string{
+		ByCause: e.cause(), ByRoute: e.Route, ByTime: e.Time.UTC().Truncate(t.interval).Format("15:04:05.0"), ByServer: e.Server, ByKeys: e.keyRange(),
 	}
-	for by, name := range of {
+	for dimension, name := range groups {
 		if name == "" {
-			continue // the line does not tell
+			continue // the entry does not have this dimension
 		}
-		if t.counts[by][name] == nil {
-			t.counts[by][name] = causes{}
+		if t.counts[dimension][name] == nil {
+			t.counts[dimension][name] = causeCounts{}
 		}
-		t.counts[by][name][l.cause()]++
+		t.counts[dimension][name][e.cause()]++
 	}
 }
 
-// Rows lists the counts, those of times in their order, all others the largest
-// first.
-func (t *Tally) Rows(by By) []Row {
-	var out []Row
-	for name, c := range t.counts[by] {
-		out = append(out, c.row(name))
+// Rows returns the groups of a dimension: times in chronological order, all others with
+// the largest count first.
+func (t *Tally) Rows(dimension Dimension) []Row {
+	var rows []Row
+	for name, c := range t.counts[dimension] {
+		rows = append(rows, c.row(name))
 	}
-	slices.SortFunc(out, func(a, b Row) int {
-		if by == ByTime {
-			return cmp.Compare(a.Of, b.Of)
+	slices.SortFunc(rows, func(a, b Row) int {
+		if dimension == ByTime {
+			return cmp.Compare(a.Group, b.Group)
 		}
-		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Of, b.Of))
+		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(a.Group, b.Group))
 	})
-	return out
+	return rows
 }
 
-func (c causes) row(of string) Row {
-	r := Row{Of: of}
+func (c causeCounts) row(group string) Row {
+	r := Row{Group: group}
 	for cause, n := range c {
 		r.Lost += n
-		if n > r.OfCause || n == r.OfCause && cause < r.Cause {
-			r.Cause, r.OfCause = cause, n
+		if n > r.TopCauseCount || n == r.TopCauseCount && cause < r.TopCause {
+			r.TopCause, r.TopCauseCount = cause, n
 		}
 	}
 	return r
--- a/core/version/check/check.go
+++ b/core/version/check/check.go
@@ -14,51 +14,52 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxFile keeps the stored site well below the platform's limit of one megabyte.
-const maxFile = 900 << 10
-
-// Mistake is one thing wrong in a file.
-type Mistake struct {
-	File  string
-	Line  int
-	Field string
-	Text  string
+// maxFileBytes keeps the stored site well below the platform's limit of 1 MB per object.
+const maxFileBytes = 900 << 10
+
+// Problem is one problem of a file.
+type Problem struct {
+	File    string
+	Line    int
+	Field   string
+	Message string
 }
 
-// String names file, line and field.
-func (m Mistake) String() string {
-	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.Text)
+// String returns the problem as "file:line: field: message".
+func (p Problem) String() string {
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Message)
 }
 
-// FileErrors are all mistakes of a file, in the order of its lines.
-type FileErrors []Mistake
+// FileErrors are all problems of a file, in the order in which they were found.
+type FileErrors []Problem
 
-// Error implements the error interface, one mistake a line.
-func (m FileErrors) Error() string {
-	lines := make([]string, len(m))
-	for i, v := range m {
-		lines[i] = v.String()
+// Error implements the error interface. It returns one problem per line.
+func (e FileErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, p := range e {
+		lines[i] = p.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Checker collects the mistakes of one file and knows the line of each field.
+// Checker collects the problems of one file and knows the line of each field.
 type Checker struct {
-	file     string
+	file string
+	// lines maps the path of a field, such as services[0].slots, to its line.
 	lines    map[string]int
-	mistakes FileErrors
+	problems FileErrors
 }
 
-// Decode reads YAML into out and checks unknown fields, doubled fields, types
-// and units, each with its line. It fails when there is any such mistake; the
-// Checker then serves the rules that go beyond types.
+// Decode decodes YAML into out. It fails if the file has unknown or duplicate fields,
+// wrong types or durations without a unit, and reports each with its line. If it
+// succeeds, the caller checks further rules through the Checker.
 func Decode(file string, data []byte, out any) (*Checker, error) {
 	c := &Checker{file: file, lines: map[string]int{}}
-	if len(data) > maxFile {
-		c.Add("", "the file is %d bytes, more than %d", len(data), maxFile)
+	if len(data) > maxFileBytes {
+		c.Add("", "the file is %d bytes, more than %d", len(data), maxFileBytes)
 		return c, c.Err()
 	}
-	tree, err := parser.ParseBytes(data, 0)
+	doc, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		line := 1
 		var syntax *yaml.SyntaxError
@@ -66,14 +67,14 @@
 			line = syntax.GetToken().Position.Line
 			err = errors.New(syntax.GetMessage())
 		}
-		c.mistakes = append(c.mistakes, Mistake{File: file, Line: line, Field: "yaml", Text: err.Error()})
+		c.problems = append(c.problems, Problem{File: file, Line: line, Field: "yaml", Message: err.Error()})
 		return c, c.Err()
 	}
-	if len(tree.Docs) == 0 || tree.Docs[0].Body == nil {
+	if len(doc.Docs) == 0 || doc.Docs[0].Body == nil {
 		c.Add("", "the file is empty")
 		return c, c.Err()
 	}
-	c.walk("", tree.Docs[0].Body, reflect.TypeOf(out).Elem())
+	c.checkNode("", doc.Docs[0].Body, reflect.TypeOf(out).Elem())
 	if err := c.Err(); err != nil {
 		return c, err
 	}
@@ -83,7 +84,8 @@
 	return c, c.Err()
 }
 
-// Add notes a mistake at a field, as in services[0].slots.
+// Add records a problem of a field, such as services[0].slots. If the file lacks the
+// field, the line is that of the closest enclosing field.
 func (c *Checker) Add(field, format string, args ...any) {
 	line := 1
 	for f := field; ; {
@@ -100,50 +102,50 @@
 	if field == "" {
 		field = "file"
 	}
-	c.mistakes = append(c.mistakes, Mistake{File: c.file, Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, Problem{File: c.file, Line: line, Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// Err returns the mistakes so far, or nil.
+// Err returns the problems so far as FileErrors, or nil.
 func (c *Checker) Err() error {
-	if len(c.mistakes) == 0 {
+	if len(c.problems) == 0 {
 		return nil
 	}
-	return c.mistakes
+	return c.problems
 }
 
-// Address checks that a field is an IP number with a port.
+// Address checks that a field is an IP address with a port.
 func (c *Checker) Address(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.Add(field, "%q is no IP number with a port", value)
 	}
 }
 
-func (c *Checker) walk(path string, node ast.Node, t reflect.Type) {
+func (c *Checker) checkNode(path string, node ast.Node, t reflect.Type) {
 	c.lines[path] = node.GetToken().Position.Line
 	switch {
 	case t.Kind() == reflect.Slice:
-		c.walkList(path, node, t)
+		c.checkSequence(path, node, t)
 	case t.Kind() == reflect.Struct:
-		c.walkStruct(path, node, t)
+		c.checkMapping(path, node, t)
 	default:
-		c.scalar(path, node, t)
+		c.checkScalar(path, node, t)
 	}
 }
 
-func (c *Checker) walkList(path string, node ast.Node, t reflect.Type) {
+func (c *Checker) checkSequence(path string, node ast.Node, t reflect.Type) {
 	seq, ok := node.(*ast.SequenceNode)
 	if !ok {
 		if node.Type() != ast.NullType {
-			c.Add(path, "want a list")
+			c.Add(path, "must be a list")
 		}
 		return
 	}
 	for i, v := range seq.Values {
-		c.walk(fmt.Sprintf("%s[%d]", path, i), v, t.Elem())
+		c.checkNode(fmt.Sprintf("%s[%d]", path, i), v, t.Elem())
 	}
 }
 
-func (c *Checker) walkStruct(path string, node ast.Node, t reflect.Type) {
+func (c *Checker) checkMapping(path string, node ast.Node, t reflect.Type) {
 	var pairs []*ast.MappingValueNode
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -151,7 +153,7 @@
 	case *ast.MappingValueNode:
 		pairs = []*ast.MappingValueNode{n}
 	default:
-		c.Add(path, "want fields")
+		c.Add(path, "must be a mapping of fields")
 		return
 	}
 	seen := map[string]bool{}
@@ -167,29 +169,29 @@
 		case !ok:
 			c.Add(field, "unknown field")
 		case seen[name]:
-			c.Add(field, "named twice")
+			c.Add(field, "duplicate field")
 		default:
 			line := c.lines[field]
-			c.walk(field, p.Value, ft)
+			c.checkNode(field, p.Value, ft)
 			c.lines[field] = line
 		}
 		seen[name] = true
 	}
 }
 
-func (c *Checker) scalar(path string, node ast.Node, t reflect.Type) {
+func (c *Checker) checkScalar(path string, node ast.Node, t reflect.Type) {
 	text := strings.Trim(node.String(), `"'`)
 	var err error
 	want := ""
 	switch {
 	case t == reflect.TypeOf(time.Duration(0)):
-		want = "a time with its unit, as 250ms"
+		want = "a duration with a unit, such as 250ms"
 		var d time.Duration
 		if d, err = time.ParseDuration(text); err == nil && d < 0 {
 			err = errors.New("negative")
 		}
 	case t.Kind() == reflect.Int:
-		want = "a whole number"
+		want = "an integer"
 		_, err = strconv.Atoi(text)
 	case t.Kind() == reflect.Float64:
 		want = "a number"
@@ -198,9 +200,9 @@
 		want = "true or false"
 		_, err = strconv.ParseBool(text)
 	case t.Kind() == reflect.String:
-		want = "a text"
-		if _, scalar := node.(ast.ScalarNode); !scalar {
-			err = errors.New("no scalar")
+		want = "a string"
+		if _, isScalar := node.(ast.ScalarNode); !isScalar {
+			err = errors.New("not a scalar")
 		}
 	}
 	if err != nil {
--- a/core/version/check/doc.go
+++ b/core/version/check/doc.go
@@ -1,6 +1,6 @@
-// Package check reads YAML that a person wrote and names every mistake at once,
-// each with its file, line and field: unknown and doubled fields, wrong types,
-// times without a unit, and whatever rules its user adds.
+// Package check decodes YAML files that operators write and reports all problems of a
+// file at once, each with its file, line and field: unknown and duplicate fields, wrong
+// types, durations without a unit, and violations of rules that the caller adds.
 //
 // # Usage
 //
--- a/core/version/site/site_test.go
+++ b/core/version/site/site_test.go
@@ -50,7 +50,7 @@
 		text = strings.Replace(text, "keyed: true", "keyed: true\n    deadline: 5", 1)
 		text = strings.Replace(text, "retryShare: 0.05", "retryShare: many", 1)
 		So(problemsOf(text), ShouldResemble, []string{
-			"site.yaml:5: services[0].deadline: 5 is not a time with its unit, as 250ms",
+			"site.yaml:5: services[0].deadline: 5 is not a duration with a unit, such as 250ms",
 			"site.yaml:6: services[0].slotz: unknown field",
 			"site.yaml:16: presets[1].retryShare: many is not a number",
 		})
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -161,11 +161,11 @@
 	for _, d := range fleet.Daemons {
 		counts = append(counts, d.Counts)
 	}
-	var levels []burn.Level
+	var levels []burn.Objective
 	for _, s := range v.Services {
-		levels = append(levels, burn.Level{Service: s.Name, Answered: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
+		levels = append(levels, burn.Objective{Service: s.Name, AnsweredShare: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
 	}
-	out.Rows = burn.Sum(levels, counts)
+	out.Rows = burn.Rates(levels, counts)
 	return writeJSON(w, http.StatusOK, out)
 }
 
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -16,7 +16,7 @@
 	default:
 	}
 	patience, _ := r.protocol.Patience(q.Header)
-	wait := time.NewTimer(r.boot.Wait(r.now(), patience))
+	wait := time.NewTimer(r.boot.MaxWait(r.now(), patience))
 	defer wait.Stop()
 	select {
 	case <-r.booted:
@@ -32,7 +32,7 @@
 		return
 	default:
 	}
-	if c.boot = c.boot.WithKnown(kind); c.boot.Over(now) {
+	if c.boot = c.boot.WithLoaded(kind); c.boot.Done(now) {
 		close(c.r.booted)
 	}
 }
