--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -149,10 +149,10 @@
 // connectionShare returns this daemon's share of the connections that a server accepts.
 // A tenth of them is reserved for grants and for connections that are being closed.
 func (b *Balancer) connectionShare(service config.Service) int {
-	if service.Connections == 0 {
+	if service.MaxConnections == 0 {
 		return 1 << 20
 	}
-	return max(1, service.Connections*9/10/b.limits.Daemons)
+	return max(1, service.MaxConnections*9/10/b.limits.Daemons)
 }
 
 func isExcluded(req Requirements, id string) bool {
--- a/core/request/spread/simulation_test.go
+++ b/core/request/spread/simulation_test.go
@@ -78,7 +78,7 @@
 
 func newSimulation(daemons, servers int, work time.Duration, aim time.Duration) *simulation {
 	sim := &simulation{random: rand.New(rand.NewPCG(3, 1)), now: t0, meanWork: work.Seconds(), template: Requirements{Route: "r", Service: service, Aim: aim, Priority: 1, LocalDataCentre: "x"}}
-	sim.template.Service.Connections = 0
+	sim.template.Service.MaxConnections = 0
 	for i := range daemons {
 		sim.daemons = append(sim.daemons, New(uint64(i), Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons, LocalDaemons: daemons, LocalIndex: i}))
 	}
