--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -109,7 +109,7 @@
 		hold: DefaultHold, leaderLease: defaultLeaderLease,
 		epoch: t.Epoch, leader: t.Leader, seq: t.Seq, revision: revision,
 		since: now, confirmed: now, ticked: now, saver: saver{at: now},
-		fleet: fleet.New(nil), ended: map[grant.Holder]bool{}, unresponsive: map[grant.Holder]time.Time{}, fewKeys: map[grant.Holder]bool{}, limiter: limiter{control: admit.NewControl()}, publisher: publisher{due: true},
+		fleet: fleet.New(nil), ended: map[grant.Holder]bool{}, unresponsive: map[grant.Holder]time.Time{}, fewKeys: map[grant.Holder]bool{}, limiter: limiter{control: admit.NewController()}, publisher: publisher{due: true},
 	}
 	for _, o := range opts {
 		o(k)
--- a/core/process/keeper/limits.go
+++ b/core/process/keeper/limits.go
@@ -11,7 +11,7 @@
 
 // limiter works out limits for overloaded holders.
 type limiter struct {
-	control *admit.Control
+	control *admit.Controller
 	// sent tells whether limits were sent at the last round.
 	sent bool
 	at   time.Time
@@ -24,7 +24,7 @@
 		return
 	}
 	k.limiter.at = now
-	k.limiter.control.Round(now)
+	k.limiter.control.EndRound(now)
 	cmd := LimitCmd{}
 	for _, s := range k.shares {
 		cmd.Limits = append(cmd.Limits, k.limitsOf(now, s)...)
@@ -50,7 +50,7 @@
 
 // permits tells whether permits are worth asking for at a server.
 func (k *Keeper) permits(s *share, v fleet.Server) bool {
-	return permit.Known(k.daemons, v.Slots) < 1 && permit.Worth(time.Duration(s.each*s.factor(v)*float64(time.Second)))
+	return permit.QueueVisibility(k.daemons, v.Slots) < 1 && permit.Worthwhile(time.Duration(s.each*s.factor(v)*float64(time.Second)))
 }
 
 // limitsOf returns the limits of one service. Keys on their way count where they go.
@@ -80,7 +80,7 @@
 	if k.permits(s, v) {
 		return fullAt + permitsMore
 	}
-	return fullAt + knownMore*permit.Known(k.daemons, v.Slots)
+	return fullAt + knownMore*permit.QueueVisibility(k.daemons, v.Slots)
 }
 
 // limitsAt returns the limits of the buckets that one server holds.
@@ -94,11 +94,11 @@
 	if !limited {
 		return nil
 	}
-	level := admit.Level(demands, capacity)
+	level := admit.FairShare(demands, capacity)
 	var out []admit.Limit
 	for i, b := range buckets {
 		if part := level / demands[i]; part < 1 {
-			out = append(out, admit.Limit{Service: s.service, Bucket: b, Part: part})
+			out = append(out, admit.Limit{Service: s.service, Bucket: b, Fraction: part})
 		}
 	}
 	return out
--- a/core/process/keeper/limits_test.go
+++ b/core/process/keeper/limits_test.go
@@ -16,7 +16,7 @@
 		if l, ok := c.(LimitCmd); ok {
 			clear(out)
 			for _, x := range l.Limits {
-				out[x.Bucket] = x.Part
+				out[x.Bucket] = x.Fraction
 			}
 		}
 	}
--- a/core/request/admit/doc.go
+++ b/core/request/admit/doc.go
@@ -1,19 +1,20 @@
-// Package admit decides which requests for keys are let through to holders that are
-// offered more than they can answer in time.
+// Package admit limits the requests for keys that daemons may send to overloaded backend
+// servers.
 //
-// The pattern it answers: hundreds of daemons send to one holder, so none of them
-// knows its queue. A key becomes hot, all of them go on sending, the queue fills with
-// requests that will be late, and everybody else's requests at that holder wait behind
-// them. The leader knows the load of each bucket of keys and the capacity of each
-// holder. It works out what part of a bucket's requests may be sent, and each daemon
-// draws by that. A load lasts for seconds, so that parts which are a second old do.
+// Hundreds of daemons send requests to one server, so none of them can see its queue. When a
+// key becomes hot they all keep sending, the queue fills with requests that will be answered
+// too late, and requests for the server's other keys wait behind them. The leader knows the
+// load of each bucket of keys and the capacity of each server. It computes the fraction of a
+// bucket's requests that may be sent, and each daemon admits requests at random with that
+// probability. A load lasts for seconds, so fractions that are a second old are still good
+// enough.
 //
 // # Usage
 //
-//	level := admit.Level(demands, capacity) // at the leader, for each holder
-//	g := admit.NewGate(seed)                // at each daemon
-//	g.Set(sent, limits)
-//	if wait, ok := g.Admit(now, service, bucket); !ok { refuse, to come back after wait }
+//	share := admit.FairShare(demands, capacity) // on the leader, for each server
+//	l := admit.NewLimiter(seed)                 // on each daemon
+//	l.SetLimits(sentAt, limits)
+//	if retryAfter, ok := l.Admit(now, service, bucket); !ok { refuse the request }
 //
-// A Gate is used under one lock; nothing here fails.
+// The types are not safe for concurrent use, and no function returns an error.
 package admit
--- /dev/null
+++ b/core/request/admit/limiter.go
@@ -0,0 +1,62 @@
+package admit
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// limitTTL is how long limits apply after the leader sent them. It sends new ones a few
+	// times a second; without them, a load that may have gone must not be refused.
+	limitTTL = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which refused callers are told
+	// to retry, before jitter.
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
+	// retryJitter keeps callers that were refused together from retrying together.
+	retryJitter = 0.3
+)
+
+// Limit is the fraction of the requests for a bucket of keys that may be sent.
+type Limit struct {
+	Service  string
+	Bucket   int
+	Fraction float64
+}
+
+type bucketKey struct {
+	service string
+	bucket  int
+}
+
+// Limiter admits requests at random according to the leader's limits.
+type Limiter struct {
+	random    *rand.Rand
+	fractions map[bucketKey]float64
+	expiresAt time.Time
+}
+
+// NewLimiter returns a Limiter that admits every request.
+func NewLimiter(seed uint64) *Limiter {
+	return &Limiter{random: rand.New(rand.NewPCG(seed, 37))}
+}
+
+// SetLimits replaces the limits by those that the leader sent at sentAt.
+func (l *Limiter) SetLimits(sentAt time.Time, limits []Limit) {
+	l.fractions, l.expiresAt = make(map[bucketKey]float64, len(limits)), sentAt.Add(limitTTL)
+	for _, limit := range limits {
+		l.fractions[bucketKey{service: limit.Service, bucket: limit.Bucket}] = limit.Fraction
+	}
+}
+
+// Admit decides at random whether a request for a bucket may be sent, and if not, after
+// what delay its caller should retry. The smaller the admitted fraction, the longer the
+// delay, so that most retries are admitted.
+func (l *Limiter) Admit(now time.Time, service string, bucket int) (retryAfter time.Duration, ok bool) {
+	fraction, limited := l.fractions[bucketKey{service: service, bucket: bucket}]
+	if !limited || !now.Before(l.expiresAt) || l.random.Float64() < fraction {
+		return 0, true
+	}
+	wait := time.Duration(float64(minRetryAfter) / max(fraction, float64(minRetryAfter)/float64(maxRetryAfter)))
+	return time.Duration(float64(wait) * (1 + retryJitter*(2*l.random.Float64()-1))), false
+}
--- a/core/request/permit/doc.go
+++ b/core/request/permit/doc.go
@@ -1,18 +1,18 @@
-// Package permit admits requests to servers that are offered too much.
+// Package permit limits the requests in flight at overloaded backend servers.
 //
-// The load pattern: hundreds of daemons send to one server, each a few requests a minute. None
-// of them knows its queue, so that they fill it with requests that come too late, and
-// every slot is busy with work that nobody waits for any more. One daemon, the issuer of
-// that server, counts the requests that all have there: a permit is given while an answer
-// can be expected in time, and everyone else is refused at once, to turn to another server
-// or to come back when the queue is shorter.
+// Hundreds of daemons send requests to one server, a few a minute each. None of them can see
+// its queue, so together they fill it with requests that are answered too late, and every slot
+// is busy with work whose caller no longer waits. One daemon, the issuer for that server,
+// counts the requests that all daemons have there. It grants a permit while an answer can be
+// expected in time. All other requests are refused at once, and try another server or retry
+// when the queue is shorter.
 //
-// A permit protects the queue and nothing else. Requests go to the server directly; where
-// the issuer does not answer they go without one.
+// A permit only protects the queue. Requests go to the server directly, and without a permit
+// if the issuer does not answer.
 //
-// Usage:
+// # Usage
 //
 //	i := permit.NewIssuer(seed)
-//	if a := i.Ask(now, permit.Request{Server: "a", ID: 7, ...}); a.Granted { ... }
-//	i.End("a", 7)
+//	if d := i.Acquire(now, permit.Request{Server: "a", ID: 7, ...}); d.Granted { ... }
+//	i.Release("a", 7)
 package permit
--- a/core/request/permit/permit.go
+++ b/core/request/permit/permit.go
@@ -6,133 +6,138 @@
 )
 
 const (
-	// fewDaemons is how many daemons for each slot of a server know its queue.
-	fewDaemons = 4.0
-	// leastWork is the shortest work for which permits are worth their two messages.
-	leastWork = 50 * time.Millisecond
-	// backLeast is the shortest wait that a refusal asks for, and backSpread keeps
-	// callers that were refused together from coming back together.
-	backLeast  = 100 * time.Millisecond
-	backSpread = 0.3
+	// daemonsPerSlot is how many daemons for each slot of a server may send to it while
+	// each of them still sees enough of its queue.
+	daemonsPerSlot = 4.0
+	// minServiceTime is the shortest service time for which permits are worth their two
+	// messages.
+	minServiceTime = 50 * time.Millisecond
+	// minRetryAfter is the shortest delay before a retry, not counting jitter. retryJitter
+	// keeps callers that were refused together from retrying together.
+	minRetryAfter = 100 * time.Millisecond
+	retryJitter   = 0.3
 )
 
-// Worth tells whether permits are worth asking for where requests take so long.
-func Worth(work time.Duration) bool { return work >= leastWork }
+// Worthwhile reports whether permits pay off for requests of a service time.
+func Worthwhile(serviceTime time.Duration) bool { return serviceTime >= minServiceTime }
 
-// Known is how well daemons know a server's queue by themselves, from 0 to 1. Where few send
-// to it, each sees most of its requests; permits would cost more than they tell.
-func Known(daemons, slots int) float64 {
-	return min(1, fewDaemons*float64(max(1, slots))/float64(max(1, daemons)))
+// QueueVisibility returns how much of a server's queue each daemon can see by itself, from 0
+// to 1. If only a few daemons send to the server, each sees most of its requests, and permits
+// would cost more than they tell.
+func QueueVisibility(daemons, slots int) float64 {
+	return min(1, daemonsPerSlot*float64(max(1, slots))/float64(max(1, daemons)))
 }
 
 // Request asks for a permit.
 type Request struct {
-	// Server names the server and its run.
+	// Server identifies the server and its current process.
 	Server string
-	// ID names the request among those at the server.
+	// ID identifies the request among those at the server.
 	ID uint64
-	// Slots is how many requests the server runs at once.
+	// Slots is how many requests the server runs concurrently.
 	Slots int
-	// Work is how long it takes there, Patience when it should be answered at the latest.
-	Work, Patience time.Duration
-	// Lasts is when it has ended at the latest, whether that is reported or not.
-	Lasts time.Duration
+	// ServiceTime is how long the request takes at the server without waiting, and
+	// MaxLatency is the time within which it should be answered, waiting included.
+	ServiceTime, MaxLatency time.Duration
+	// TTL is the time after which the request has certainly ended, even if its end is
+	// never reported.
+	TTL time.Duration
 }
 
-// Answer is the issuer's decision.
-type Answer struct {
+// Decision is the issuer's decision on a Request.
+type Decision struct {
 	Granted bool
-	// Back is when the caller of a refused request may come back.
-	Back time.Duration
+	// RetryAfter is the delay after which the caller of a refused request may retry.
+	RetryAfter time.Duration
 }
 
-// Issuer counts the requests at the servers that it issues permits for. It is not safe
-// for concurrent use.
+// Issuer counts the requests in flight at the servers for which it issues permits. It is not
+// safe for concurrent use.
 type Issuer struct {
 	random  *rand.Rand
 	servers map[string]map[uint64]entry
 }
 
-// entry is a request on its way to a server, or at it.
+// entry is a request that was granted a permit and has not ended.
 type entry struct {
-	work time.Duration
-	till time.Time
+	serviceTime time.Duration
+	expiresAt   time.Time
 }
 
-// NewIssuer returns an Issuer that knows of no request.
+// NewIssuer returns an Issuer that counts no requests yet.
 func NewIssuer(seed uint64) *Issuer {
 	return &Issuer{random: rand.New(rand.NewPCG(seed, 41)), servers: map[string]map[uint64]entry{}}
 }
 
-// Ask decides whether a request may go to its server, and counts it if so. One that was
-// granted a permit before has it still.
-func (i *Issuer) Ask(now time.Time, q Request) Answer {
-	at := i.servers[q.Server]
-	if at == nil {
-		at = map[uint64]entry{}
-		i.servers[q.Server] = at
+// Acquire decides whether a request may be sent to its server, and counts it if so. A request
+// that holds a permit already is not counted twice.
+func (i *Issuer) Acquire(now time.Time, r Request) Decision {
+	entries := i.servers[r.Server]
+	if entries == nil {
+		entries = map[uint64]entry{}
+		i.servers[r.Server] = entries
 	}
-	drop(now, at)
-	delete(at, q.ID)
-	wait := waitOf(at, q.Slots)
-	if wait > 0 && wait+q.Work > q.Patience {
-		return Answer{Back: i.back(wait + q.Work - q.Patience)}
+	dropExpired(now, entries)
+	delete(entries, r.ID)
+	wait := queueWait(entries, r.Slots)
+	if wait > 0 && wait+r.ServiceTime > r.MaxLatency {
+		return Decision{RetryAfter: i.retryAfter(wait + r.ServiceTime - r.MaxLatency)}
 	}
-	at[q.ID] = entry{work: q.Work, till: now.Add(q.Lasts)}
-	return Answer{Granted: true}
+	entries[r.ID] = entry{serviceTime: r.ServiceTime, expiresAt: now.Add(r.TTL)}
+	return Decision{Granted: true}
 }
 
-// End notes that a request has left its server.
-func (i *Issuer) End(server string, id uint64) {
+// Release stops counting a request, which has ended at its server.
+func (i *Issuer) Release(server string, id uint64) {
 	delete(i.servers[server], id)
 	if len(i.servers[server]) == 0 {
 		delete(i.servers, server)
 	}
 }
 
-// Count is how many requests the Issuer counts now, at all servers.
+// Count returns the number of requests that are counted at all servers.
 func (i *Issuer) Count() int {
 	n := 0
-	for _, at := range i.servers {
-		n += len(at)
+	for _, entries := range i.servers {
+		n += len(entries)
 	}
 	return n
 }
 
-// Expire forgets what has surely ended: its end may never be reported, as of requests by
-// a daemon that lost power.
+// Expire stops counting requests that have certainly ended. Their end may never be reported,
+// for example when the sending daemon lost power.
 func (i *Issuer) Expire(now time.Time) {
-	for server, at := range i.servers {
-		if drop(now, at); len(at) == 0 {
+	for server, entries := range i.servers {
+		if dropExpired(now, entries); len(entries) == 0 {
 			delete(i.servers, server)
 		}
 	}
 }
 
-func drop(now time.Time, at map[uint64]entry) {
-	for id, e := range at {
-		if !now.Before(e.till) {
-			delete(at, id)
+func dropExpired(now time.Time, entries map[uint64]entry) {
+	for id, e := range entries {
+		if !now.Before(e.expiresAt) {
+			delete(entries, id)
 		}
 	}
 }
 
-// waitOf is how long one more request waits for a slot: until as many of the others have
-// ended as are too many, which all slots work off together.
-func waitOf(at map[uint64]entry, slots int) time.Duration {
+// queueWait estimates how long one more request waits for a slot. All slots together complete
+// requests of the mean service time until one slot is free.
+func queueWait(entries map[uint64]entry, slots int) time.Duration {
 	slots = max(1, slots)
-	if len(at) < slots {
+	if len(entries) < slots {
 		return 0
 	}
-	work := time.Duration(0)
-	for _, e := range at {
-		work += e.work
+	total := time.Duration(0)
+	for _, e := range entries {
+		total += e.serviceTime
 	}
-	each := work / time.Duration(len(at))
-	return each * time.Duration(len(at)+1-slots) / time.Duration(slots)
+	mean := total / time.Duration(len(entries))
+	return mean * time.Duration(len(entries)+1-slots) / time.Duration(slots)
 }
 
-// back is when a caller may return for whom the queue is too long by so much.
-func (i *Issuer) back(excess time.Duration) time.Duration {
-	return time.Duration(float64(max(backLeast, excess)) * (1 + backSpread*(2*i.random.Float64()-1)))
+// retryAfter returns the delay before a retry of a request whose wait is too long by excess.
+func (i *Issuer) retryAfter(excess time.Duration) time.Duration {
+	return time.Duration(float64(max(minRetryAfter, excess)) * (1 + retryJitter*(2*i.random.Float64()-1)))
 }
--- a/core/request/permit/permit_test.go
+++ b/core/request/permit/permit_test.go
@@ -13,63 +13,64 @@
 
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
-func asks(id uint64) Request {
-	return Request{Server: "a", ID: id, Slots: 3, Work: 600 * time.Millisecond, Patience: 1200 * time.Millisecond, Lasts: 4 * time.Second}
+func newRequest(id uint64) Request {
+	return Request{Server: "a", ID: id, Slots: 3, ServiceTime: 600 * time.Millisecond, MaxLatency: 1200 * time.Millisecond, TTL: 4 * time.Second}
 }
 
 func TestAsk(t *testing.T) {
-	Convey("Permits are given while an answer can come in time", t, func() {
+	Convey("Permits are granted while an answer can come in time", t, func() {
 		i, granted := NewIssuer(1), uint64(0)
 		for id := range uint64(20) {
-			a := i.Ask(t0, asks(id))
-			if !a.Granted {
-				So(a.Back, ShouldBeGreaterThan, 0)
+			d := i.Acquire(t0, newRequest(id))
+			if !d.Granted {
+				So(d.RetryAfter, ShouldBeGreaterThan, 0)
 				break
 			}
 			granted++
 		}
-		So(granted, ShouldEqual, 6) // three run, and three wait for one of these to end
-		Convey("and again when one has ended", func() {
-			i.End("a", 2)
-			So(i.Ask(t0, asks(30)).Granted, ShouldBeTrue)
-			So(i.Ask(t0, asks(31)).Granted, ShouldBeFalse)
+		So(granted, ShouldEqual, 6) // three run, and three wait for one of them to end
+		Convey("A permit is granted again when a request has ended", func() {
+			i.Release("a", 2)
+			So(i.Acquire(t0, newRequest(30)).Granted, ShouldBeTrue)
+			So(i.Acquire(t0, newRequest(31)).Granted, ShouldBeFalse)
 		})
-		Convey("A caller with more time gets one, and so does one of another server", func() {
-			q := asks(30)
-			q.Patience = 3 * time.Second
-			So(i.Ask(t0, q).Granted, ShouldBeTrue)
-			q = asks(31)
-			q.Server = "b"
-			So(i.Ask(t0, q).Granted, ShouldBeTrue)
+		Convey("A request that may take longer gets a permit, and so does one to another server", func() {
+			r := newRequest(30)
+			r.MaxLatency = 3 * time.Second
+			So(i.Acquire(t0, r).Granted, ShouldBeTrue)
+			r = newRequest(31)
+			r.Server = "b"
+			So(i.Acquire(t0, r).Granted, ShouldBeTrue)
 		})
-		Convey("One that asks once more keeps its permit", func() {
-			So(i.Ask(t0, asks(1)).Granted, ShouldBeTrue)
+		Convey("A request that asks again keeps its permit", func() {
+			So(i.Acquire(t0, newRequest(1)).Granted, ShouldBeTrue)
 		})
 	})
-	Convey("A free slot is never refused", t, func() {
-		q := asks(1)
-		q.Patience = 0
-		So(NewIssuer(1).Ask(t0, q).Granted, ShouldBeTrue)
+	Convey("A request is never refused while a slot is free", t, func() {
+		r := newRequest(1)
+		r.MaxLatency = 0
+		So(NewIssuer(1).Acquire(t0, r).Granted, ShouldBeTrue)
 	})
-	Convey("Few daemons know a queue without permits, many do not", t, func() {
-		So(Known(9, 3), ShouldEqual, 1)
-		So(Known(195, 3), ShouldBeLessThan, 0.1)
+	Convey("Few daemons can see a queue without permits, many cannot", t, func() {
+		So(QueueVisibility(9, 3), ShouldEqual, 1)
+		So(QueueVisibility(195, 3), ShouldBeLessThan, 0.1)
 	})
-	Convey("Short work is not worth the asking", t, func() {
-		So(Worth(5*time.Millisecond), ShouldBeFalse)
-		So(Worth(500*time.Millisecond), ShouldBeTrue)
+	Convey("Permits do not pay off for short requests", t, func() {
+		So(Worthwhile(5*time.Millisecond), ShouldBeFalse)
+		So(Worthwhile(500*time.Millisecond), ShouldBeTrue)
 	})
 }
 
-// Guards against a server that stays closed for requests whose daemon lost power.
+// Guards against a server that stays full of requests whose daemon lost power and never reports
+// their end.
 func TestUnreportedEndsExpire(t *testing.T) {
-	Convey("What must have ended counts no more", t, func() {
+	Convey("Requests are not counted after their TTL", t, func() {
 		i := NewIssuer(1)
 		for id := range uint64(6) {
-			i.Ask(t0, asks(id))
+			i.Acquire(t0, newRequest(id))
 		}
-		So(i.Ask(after(3*time.Second), asks(9)).Granted, ShouldBeFalse)
-		So(i.Ask(after(4*time.Second), asks(9)).Granted, ShouldBeTrue)
+		So(i.Acquire(after(3*time.Second), newRequest(9)).Granted, ShouldBeFalse)
+		So(i.Acquire(after(4*time.Second), newRequest(9)).Granted, ShouldBeTrue)
 		So(i.Count(), ShouldEqual, 1)
 		i.Expire(after(9 * time.Second))
 		So(i.Count(), ShouldEqual, 0)
@@ -77,61 +78,61 @@
 	})
 }
 
-// play sends requests by chance to one server of three slots for a while, and returns which
-// part is answered within the aim. Callers leave at twice the aim; what they leave at the
-// server runs no further. Permits arrive late by two ways between data centres.
-func play(offered float64, issuer *Issuer) float64 {
-	const work, aim, way, length = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
+// simulate sends requests with Poisson arrivals to one server of three slots, and returns the
+// fraction that is answered within the target. Callers leave after twice the target, which
+// cancels their requests at the server. Permits take a round trip between data centres.
+func simulate(offeredLoad float64, issuer *Issuer) float64 {
+	const serviceTime, target, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
 	random := rand.New(rand.NewPCG(7, 7))
-	free := make([]time.Duration, 3) // when each slot is
-	type end struct {
+	slotFreeAt := make([]time.Duration, 3)
+	type release struct {
 		at time.Duration
 		id uint64
 	}
-	var ends []end
-	id, all, inAim := uint64(0), 0, 0
-	for at := time.Duration(0); at < length; at += time.Duration(random.ExpFloat64() * float64(work) / (3 * offered)) {
-		all++
+	var releases []release
+	id, sent, onTime := uint64(0), 0, 0
+	for at := time.Duration(0); at < duration; at += time.Duration(random.ExpFloat64() * float64(serviceTime) / (3 * offeredLoad)) {
+		sent++
 		id++
-		for len(ends) > 0 && ends[0].at+way <= at {
-			issuer.End("a", ends[0].id)
-			ends = ends[1:]
+		for len(releases) > 0 && releases[0].at+networkDelay <= at {
+			issuer.Release("a", releases[0].id)
+			releases = releases[1:]
 		}
-		q := asks(id)
-		if issuer != nil && !issuer.Ask(after(at), q).Granted {
+		r := newRequest(id)
+		if issuer != nil && !issuer.Acquire(after(at), r).Granted {
 			continue
 		}
-		slot := slices.Index(free, slices.Min(free))
-		begins := max(at+way, free[slot])
-		left := at + 2*aim
-		if begins >= left {
-			ends = append(ends, end{left, id})
+		slot := slices.Index(slotFreeAt, slices.Min(slotFreeAt))
+		startsAt := max(at+networkDelay, slotFreeAt[slot])
+		leavesAt := at + 2*target
+		if startsAt >= leavesAt {
+			releases = append(releases, release{leavesAt, id})
 			continue
 		}
-		done := min(left, begins+time.Duration(random.ExpFloat64()*float64(work)))
-		free[slot] = done
-		if done-at <= aim {
-			inAim++
+		doneAt := min(leavesAt, startsAt+time.Duration(random.ExpFloat64()*float64(serviceTime)))
+		slotFreeAt[slot] = doneAt
+		if doneAt-at <= target {
+			onTime++
 		}
 		if issuer != nil {
-			ends = append(ends, end{done, id})
-			slices.SortFunc(ends, func(a, b end) int { return int(a.at - b.at) })
+			releases = append(releases, release{doneAt, id})
+			slices.SortFunc(releases, func(a, b release) int { return int(a.at - b.at) })
 		}
 	}
-	return float64(inAim) / float64(all)
+	return float64(onTime) / float64(sent)
 }
 
-// Guards against a server that works for callers who have left, since hundreds of daemons
-// each know nothing of the others' requests.
-func TestHolderOfferedTooMuch(t *testing.T) {
-	Convey("Half as many again are answered in time as without permits, and as many at a low load", t, func() {
-		for _, offered := range []float64{1.1, 1.4} {
-			blind, permitted := play(offered, nil), play(offered, NewIssuer(1))
-			t.Logf("offered %.1f: in time %.2f without permits, %.2f with", offered, blind, permitted)
-			So(permitted, ShouldBeGreaterThan, 1.5*blind)
+// Guards against a server that works for callers who have left, because each of hundreds of
+// daemons does not see the requests of the others.
+func TestOverloadedServer(t *testing.T) {
+	Convey("Permits raise the fraction answered in time by half under overload, and keep it at a low load", t, func() {
+		for _, offeredLoad := range []float64{1.1, 1.4} {
+			without, with := simulate(offeredLoad, nil), simulate(offeredLoad, NewIssuer(1))
+			t.Logf("offered %.1f: in time %.2f without permits, %.2f with", offeredLoad, without, with)
+			So(with, ShouldBeGreaterThan, 1.5*without)
 		}
-		blind, permitted := play(0.5, nil), play(0.5, NewIssuer(1))
-		t.Logf("offered 0.5: in time %.2f without permits, %.2f with", blind, permitted)
-		So(permitted, ShouldBeGreaterThan, 0.98*blind)
+		without, with := simulate(0.5, nil), simulate(0.5, NewIssuer(1))
+		t.Logf("offered 0.5: in time %.2f without permits, %.2f with", without, with)
+		So(with, ShouldBeGreaterThan, 0.98*without)
 	})
 }
--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -101,7 +101,7 @@
 	cost := (work + wait) * (1 + jitter*s.random.Float64()) / (1.001 - st.failing)
 	c := Choice{Server: v, Expected: expected, free: ahead < float64(v.Slots) && factor < freeFactor}
 	busy := ahead >= float64(v.Slots-1) || others >= float64(v.Slots)/2
-	c.Contended = busy && permit.Known(s.limits.Daemons, v.Slots) < 1
+	c.Contended = busy && permit.QueueVisibility(s.limits.Daemons, v.Slots) < 1
 	c.Reason = s.objection(now, n, v, st, expected, ahead)
 	if c.Refused() {
 		c.RetryAfter = s.retryAfter(n, expected)
--- a/core/request/spread/fleet_test.go
+++ b/core/request/spread/fleet_test.go
@@ -176,9 +176,9 @@
 			return c, 0
 		}
 		p.lastID++
-		q := permit.Request{Server: c.Server.ID, ID: p.lastID, Slots: c.Server.Slots, Work: d.Work(p.now, n, c.Server),
-			Patience: d.Patience(n) - p.now.Sub(n.Began), Lasts: n.Deadline.Sub(p.now)}
-		if p.permits.Ask(p.now, q).Granted {
+		q := permit.Request{Server: c.Server.ID, ID: p.lastID, Slots: c.Server.Slots, ServiceTime: d.Work(p.now, n, c.Server),
+			MaxLatency: d.Patience(n) - p.now.Sub(n.Began), TTL: n.Deadline.Sub(p.now)}
+		if p.permits.Acquire(p.now, q).Granted {
 			c.Reason = ""
 			return c, p.lastID
 		}
@@ -190,7 +190,7 @@
 
 func (p *place) ended(b *backend, j job) {
 	if j.id > 0 {
-		p.permits.End(b.v.ID, j.id)
+		p.permits.Release(b.v.ID, j.id)
 	}
 }
 
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -32,7 +32,7 @@
 func (l limits) message(now time.Time) *wire.Limits {
 	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: age(now, l.at), Contended: l.contended}
 	for _, x := range l.each {
-		out.Limits = append(out.Limits, &wire.Limit{Service: x.Service, Bucket: uint32(x.Bucket), Part: float32(x.Part)})
+		out.Limits = append(out.Limits, &wire.Limit{Service: x.Service, Bucket: uint32(x.Bucket), Part: float32(x.Fraction)})
 	}
 	return out
 }
@@ -44,7 +44,7 @@
 	}
 	l := limits{epoch: m.Epoch, seq: m.Seq, at: ago(now, m.AgeMillis), contended: m.Contended}
 	for _, x := range m.Limits {
-		l.each = append(l.each, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Part: float64(x.Part)})
+		l.each = append(l.each, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Fraction: float64(x.Part)})
 	}
 	c.setLimits(now, l, false)
 }
@@ -61,7 +61,7 @@
 	c.limits = l
 	sent := time.Now().Add(l.at.Sub(now))
 	c.r.mu.Lock()
-	c.r.gate.Set(sent, l.each)
+	c.r.gate.SetLimits(sent, l.each)
 	c.r.permits.set(sent, l.contended)
 	c.r.mu.Unlock()
 	var to []string
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -107,7 +107,7 @@
 	case answered && a.Granted:
 		c.Reason = ""
 	case answered:
-		c.Reason, c.RetryAfter = contendedNow, a.Back
+		c.Reason, c.RetryAfter = contendedNow, a.RetryAfter
 		r.notSent(o, v, spread.NotPermitted)
 	case c.Refused():
 		r.notSent(o, v, spread.CalledOff)
@@ -124,14 +124,14 @@
 }
 
 // permitFor returns the issuer's answer; false where none is needed or none came.
-func (r *Router) permitFor(ctx context.Context, o *order, v fleet.Server, c spread.Choice) (permit.Answer, bool) {
+func (r *Router) permitFor(ctx context.Context, o *order, v fleet.Server, c spread.Choice) (permit.Decision, bool) {
 	q, ok := r.needsPermit(o, v, c)
 	if !ok {
-		return permit.Answer{}, false
+		return permit.Decision{}, false
 	}
 	issuer := r.issuerOf(v, q.Server)
 	if issuer == "" {
-		return permit.Answer{}, false
+		return permit.Decision{}, false
 	}
 	a, answered := r.permitOf(ctx, issuer, q)
 	if !answered || a.Granted {
@@ -152,13 +152,13 @@
 		contended = r.permits.contended[v.ID] && now.Before(r.permits.until)
 	}
 	work := r.spread.Work(now, o.need, v)
-	if !contended || !permit.Worth(work) {
+	if !contended || !permit.Worthwhile(work) {
 		return permit.Request{}, false
 	}
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", v.ID, v.Born), ID: r.permits.lastID, Slots: v.Slots,
-		Work: work, Patience: r.spread.Patience(o.need) - now.Sub(o.Read), Lasts: o.deadline.Sub(now) + answerMargin,
+		ServiceTime: work, MaxLatency: r.spread.Patience(o.need) - now.Sub(o.Read), TTL: o.deadline.Sub(now) + answerMargin,
 	}, true
 }
 
@@ -174,9 +174,9 @@
 }
 
 // permitOf asks an issuer, which may be this daemon; false means that it did not answer.
-func (r *Router) permitOf(ctx context.Context, issuer string, q permit.Request) (permit.Answer, bool) {
+func (r *Router) permitOf(ctx context.Context, issuer string, q permit.Request) (permit.Decision, bool) {
 	r.meters.add("permits.asked")
-	m := &wire.Permit{Server: q.Server, Id: q.ID, Slots: uint32(q.Slots), WorkMillis: millisOf(q.Work), PatienceMillis: millisOf(q.Patience), LastsMillis: millisOf(q.Lasts)}
+	m := &wire.Permit{Server: q.Server, Id: q.ID, Slots: uint32(q.Slots), WorkMillis: millisOf(q.ServiceTime), PatienceMillis: millisOf(q.MaxLatency), LastsMillis: millisOf(q.TTL)}
 	if issuer == r.self.Address {
 		return answerOf(r.issue(m)), true
 	}
@@ -188,7 +188,7 @@
 		if ctx.Err() == nil { // else the caller left
 			r.issuerLost(issuer, err)
 		}
-		return permit.Answer{}, false
+		return permit.Decision{}, false
 	}
 	return answerOf(reply.Permit), true
 }
@@ -201,8 +201,8 @@
 	r.permits.absent[issuer] = time.Now().Add(absentFor)
 }
 
-func answerOf(m *wire.PermitReply) permit.Answer {
-	return permit.Answer{Granted: m.Granted, Back: millis(m.BackMillis)}
+func answerOf(m *wire.PermitReply) permit.Decision {
+	return permit.Decision{Granted: m.Granted, RetryAfter: millis(m.BackMillis)}
 }
 
 func millisOf(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
@@ -234,14 +234,14 @@
 func (r *Router) issue(m *wire.Permit) *wire.PermitReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.permits.issuer.Ask(time.Now(), permit.Request{Server: m.Server, ID: m.Id, Slots: int(m.Slots),
-		Work: millis(m.WorkMillis), Patience: millis(m.PatienceMillis), Lasts: millis(m.LastsMillis)})
-	return &wire.PermitReply{Granted: a.Granted, BackMillis: millisOf(a.Back)}
+	a := r.permits.issuer.Acquire(time.Now(), permit.Request{Server: m.Server, ID: m.Id, Slots: int(m.Slots),
+		ServiceTime: millis(m.WorkMillis), MaxLatency: millis(m.PatienceMillis), TTL: millis(m.LastsMillis)})
+	return &wire.PermitReply{Granted: a.Granted, BackMillis: millisOf(a.RetryAfter)}
 }
 
 // permitEnded takes in that a request has left its server.
 func (r *Router) permitEnded(m *wire.PermitEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.permits.issuer.End(m.Server, m.Id)
+	r.permits.issuer.Release(m.Server, m.Id)
 }
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -124,7 +124,7 @@
 		o.key, o.service.Keyed, o.need.Service = -1, false, config.Service{Name: "s"}
 		for _, v := range r.current.Load().fleet.All() {
 			for id := range uint64(20) {
-				r.permits.issuer.Ask(time.Now(), permit.Request{Server: v.ID + " 1", ID: id, Slots: 20, Work: time.Second, Lasts: time.Minute})
+				r.permits.issuer.Acquire(time.Now(), permit.Request{Server: v.ID + " 1", ID: id, Slots: 20, ServiceTime: time.Second, TTL: time.Minute})
 			}
 			r.spread.Begin(time.Now(), v, o.need)
 			r.spread.End(time.Now(), v, o.need, time.Now(), spread.Answered, &spread.Report{Running: 3, Waiting: 9, Slots: 3})
@@ -143,7 +143,7 @@
 		r := contended()
 		_, refused := begun(r, 1)
 		So(refused, ShouldBeEmpty)
-		r.permits.issuer.Ask(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, Lasts: time.Second})
+		r.permits.issuer.Acquire(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, TTL: time.Second})
 		r.control.listIssuers(second(1))
 		So(r.permits.issuer.Count(), ShouldEqual, 1)
 		So(r.meters.vars.Get("permits.counted").String(), ShouldEqual, "1")
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -72,7 +72,7 @@
 	burn       *burn.Meter
 	// gaps are how long ranges stayed closed.
 	gaps    *gaps.Meter
-	gate    *admit.Gate
+	gate    *admit.Limiter
 	permits permits
 	// booted is closed once requests need not wait for what a start must read.
 	booted chan struct{}
@@ -125,7 +125,7 @@
 	r.burn = burn.New(r.now())
 	r.gaps = gaps.New()
 	seed := seedOf(r.self)
-	r.gate = admit.NewGate(seed)
+	r.gate = admit.NewLimiter(seed)
 	r.permits.issuer, r.permits.absent, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
 	r.opened.Store(new(make(chan struct{})))
 	r.random = rand.New(rand.NewPCG(seed, 23))
