--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -5,65 +5,64 @@
 	"time"
 )
 
-// Suspects holds the requests during which servers were lost.
+// Suspects holds the requests that were running when servers were lost.
 type Suspects struct {
-	bound int
-	keep  time.Duration
-	seen  map[uint64]suspect
+	threshold int
+	retention time.Duration
+	requests  map[uint64]suspect
 }
 
 type suspect struct {
-	servers []string
-	at      time.Time
+	servers    []string
+	lastLossAt time.Time
 }
 
-// New returns Suspects that refuse a request once bound different servers were
-// lost while it ran, and forget it after a time without another loss.
-func New(bound int, keep time.Duration) *Suspects {
-	return &Suspects{bound: bound, keep: keep, seen: map[uint64]suspect{}}
+// New returns Suspects that refuse a request once as many different servers as the threshold
+// were lost while it ran, and forget it after the retention time without another loss.
+func New(threshold int, retention time.Duration) *Suspects {
+	return &Suspects{threshold: threshold, retention: retention, requests: map[uint64]suspect{}}
 }
 
-// Lost notes that a server was lost while a request ran, and tells whether
-// that was news worth sharing.
-func (s *Suspects) Lost(now time.Time, fingerprint uint64, servers ...string) (news bool) {
-	for f, v := range s.seen {
-		if now.Sub(v.at) > s.keep {
-			delete(s.seen, f)
+// RecordLoss records servers that were lost while a request ran, and reports whether any of
+// them was new, so that other daemons should be told.
+func (s *Suspects) RecordLoss(now time.Time, fingerprint uint64, servers ...string) (changed bool) {
+	for f, v := range s.requests {
+		if now.Sub(v.lastLossAt) > s.retention {
+			delete(s.requests, f)
 		}
 	}
 	if len(servers) == 0 {
 		return false
 	}
-	v := s.seen[fingerprint]
+	v := s.requests[fingerprint]
 	v.servers = slices.Clone(v.servers)
 	for _, server := range servers {
 		if !slices.Contains(v.servers, server) {
 			v.servers = append(v.servers, server)
-			v.at = now
-			news = true
+			v.lastLossAt = now
+			changed = true
 		}
 	}
-	s.seen[fingerprint] = v
-	return news
+	s.requests[fingerprint] = v
+	return changed
 }
 
-// Answered notes that a request was answered, and tells whether it had been
-// suspected. A request that crashes servers does so each time; one that was only
-// under way when servers were lost for other reasons, as a popular lookup often
-// is, is answered in between.
-func (s *Suspects) Answered(fingerprint uint64) (cleared bool) {
-	_, cleared = s.seen[fingerprint]
-	delete(s.seen, fingerprint)
+// RecordAnswer clears a request that was answered, and reports whether it had been suspected.
+// A request that crashes servers does so each time. A frequent request, which is often in flight
+// when servers are lost for other reasons, is answered in between.
+func (s *Suspects) RecordAnswer(fingerprint uint64) (cleared bool) {
+	_, cleared = s.requests[fingerprint]
+	delete(s.requests, fingerprint)
 	return cleared
 }
 
-// Refused tells whether a request must not be run any more.
-func (s *Suspects) Refused(now time.Time, fingerprint uint64) bool {
-	v, ok := s.seen[fingerprint]
-	return ok && len(v.servers) >= s.bound && now.Sub(v.at) <= s.keep
+// ShouldRefuse reports whether a request must not be sent to servers any more.
+func (s *Suspects) ShouldRefuse(now time.Time, fingerprint uint64) bool {
+	v, ok := s.requests[fingerprint]
+	return ok && len(v.servers) >= s.threshold && now.Sub(v.lastLossAt) <= s.retention
 }
 
-// Servers lists the servers that were lost while a request ran.
-func (s *Suspects) Servers(fingerprint uint64) []string {
-	return slices.Clone(s.seen[fingerprint].servers)
+// LostServers returns the servers that were lost while a request ran.
+func (s *Suspects) LostServers(fingerprint uint64) []string {
+	return slices.Clone(s.requests[fingerprint].servers)
 }
--- a/core/request/crash/doc.go
+++ b/core/request/crash/doc.go
@@ -1,15 +1,15 @@
-// Package crash counts the backend servers that were lost while a request ran.
-// A request that brings down every server that runs it, and that its caller
-// sends again and again, is refused after a small number of servers.
+// Package crash counts the backend servers that were lost while a request ran, so that a
+// request which crashes every server that runs it, and which its caller keeps sending, is
+// refused after a few servers.
 //
 // # Usage
 //
 //	s := crash.New(2, 10*time.Minute)
-//	s.Lost(now, fingerprint, "127.0.0.9:9000")
-//	if s.Refused(now, fingerprint) { ... }
-//	s.Answered(fingerprint) // it does not crash servers after all
+//	s.RecordLoss(now, fingerprint, "127.0.0.9:9000")
+//	if s.ShouldRefuse(now, fingerprint) { ... }
+//	s.RecordAnswer(fingerprint) // the request does not crash servers after all
 //
-// Fingerprints are hashes of a request's content, so that a caller which makes
-// a new id for each try is recognised too. A Suspects value is used by one
-// goroutine or under one lock; its functions do not fail.
+// Fingerprints are hashes of a request's content, so that a caller which makes a new id for
+// each attempt is recognised too. Suspects are not safe for concurrent use, and their
+// functions return no errors.
 package crash
--- a/core/request/retry/budget.go
+++ b/core/request/retry/budget.go
@@ -1,32 +1,34 @@
 package retry
 
-// Budget bounds extra attempts to a share of the requests, so that a general
-// slowness is not made worse by everybody trying twice.
+// Budget is a token bucket that limits retries to a share of the requests, so that retries do
+// not amplify a general slowdown.
 type Budget struct {
-	share  float64
-	tokens float64
-	most   float64
+	share     float64
+	tokens    float64
+	maxTokens float64
 }
 
-// NewBudget returns a Budget of a share of the requests, with room for a burst.
+// NewBudget returns a Budget that allows a share of the requests to be retried, and starts with
+// enough tokens for a burst of retries.
 func NewBudget(share float64, burst int) *Budget {
-	return &Budget{share: share, tokens: float64(burst), most: float64(burst)}
+	return &Budget{share: share, tokens: float64(burst), maxTokens: float64(burst)}
 }
 
-// SetShare follows a change of the configuration.
+// SetShare changes the share of the requests that may be retried.
 func (b *Budget) SetShare(share float64) { b.share = share }
 
-// SetBurst follows a change of the number of daemons that share the burst.
+// SetBurst changes the maximum number of tokens. It depends on the number of daemons, which
+// share the burst.
 func (b *Budget) SetBurst(burst float64) {
-	b.most = burst
+	b.maxTokens = burst
 	b.tokens = min(b.tokens, burst)
 }
 
-// Request earns the share of one request.
-func (b *Budget) Request() { b.tokens = min(b.most, b.tokens+max(0, b.share)) }
+// Deposit adds the tokens that one request earns.
+func (b *Budget) Deposit() { b.tokens = min(b.maxTokens, b.tokens+max(0, b.share)) }
 
-// Take spends one extra attempt, if there is one to spend.
-func (b *Budget) Take() bool {
+// TryWithdraw takes the token for one retry, and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	if b.tokens < 1 || b.share < 0 {
 		return false
 	}
--- a/core/request/retry/doc.go
+++ b/core/request/retry/doc.go
@@ -1,11 +1,11 @@
-// Package retry says which attempt may be followed by another, and within which
-// budget.
+// Package retry decides whether a failed request may be sent again, and limits the retries of
+// all requests by a budget.
 //
 // # Usage
 //
 //	b := retry.NewBudget(0.1, 10)
-//	b.Request() // for each request
-//	if attempt.Again() && (!attempt.Repeats() || b.Take()) { ... }
+//	b.Deposit() // for each request
+//	if state.Retryable() && (!state.UsesBudget() || b.TryWithdraw()) { ... }
 //
-// A Budget is used under one lock; nothing here fails.
+// A Budget is not safe for concurrent use, and no function returns an error.
 package retry
--- a/core/request/retry/retry.go
+++ b/core/request/retry/retry.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// unsentMost bounds the attempts of one request that reach nobody: each may take as
-// long as a connection is waited for.
-const unsentMost = 3
+// maxUnsent limits the attempts of one request that reach no server, because each of them may
+// take as long as the timeout for a connection.
+const maxUnsent = 3
 
-// Attempt is what is known after an attempt of a request failed.
-type Attempt struct {
-	// Idempotent requests may run more than once.
+// State is what is known of a request after an attempt has failed.
+type State struct {
+	// Idempotent means that the request may run more than once.
 	Idempotent bool
-	// NotRun means that this attempt surely did not run.
+	// NotRun means that the failed attempt certainly did not run.
 	NotRun bool
 	// MaybeRan means that an earlier attempt may have run.
 	MaybeRan bool
-	// Arrived is how many attempts may have reached a server, Most how many may.
-	Arrived, Most int
-	// Unsent is how many attempts surely reached none.
+	// Arrived is how many attempts may have reached a server, and MaxAttempts is how many
+	// are allowed to.
+	Arrived, MaxAttempts int
+	// Unsent is how many attempts certainly reached no server.
 	Unsent int
-	// Crashes means that too many servers were lost while they ran the same request.
-	Crashes bool
-	// Left is what remains of the caller's time, Least what an answer takes.
-	Left, Least time.Duration
+	// CrashSuspect means that too many servers were lost while they ran the same request.
+	CrashSuspect bool
+	// TimeLeft is the time until the caller's deadline, and MinLatency is the least time that
+	// an answer takes.
+	TimeLeft, MinLatency time.Duration
 }
 
-// Again tells whether the request may be sent once more, the shared budget
-// apart. A request that is not idempotent is sent again only if no attempt can
-// have run: a second run would charge its caller twice. An attempt that cannot
-// end in time would hold a slot for nothing, and one that crashes servers would take
-// the next one down.
-func (a Attempt) Again() bool {
-	safe := a.Idempotent || a.NotRun && !a.MaybeRan
-	return safe && !a.Crashes && a.Arrived < max(1, a.Most) && a.Unsent < unsentMost && a.Left > a.Least
+// Retryable reports whether the request may be sent again, regardless of the shared budget. A
+// request that is not idempotent is sent again only if no attempt can have run, because a second
+// run would charge its caller twice. An attempt that cannot end in time would occupy a slot for
+// nothing, and a request that crashes servers would crash the next one.
+func (s State) Retryable() bool {
+	safe := s.Idempotent || s.NotRun && !s.MaybeRan
+	return safe && !s.CrashSuspect && s.Arrived < max(1, s.MaxAttempts) && s.Unsent < maxUnsent && s.TimeLeft > s.MinLatency
 }
 
-// Repeats tells whether another attempt would be a repeat for the servers, which the
-// shared budget bounds. One whose forerunners reached nobody is no more load than the
-// request itself: paid for, it would use up a daemon's share while servers are lost.
-func (a Attempt) Repeats() bool { return a.Arrived > 0 }
+// UsesBudget reports whether another attempt counts against the shared budget. If no earlier
+// attempt reached a server, the next one adds no load beyond the request itself, and counting it
+// would use up a daemon's budget while servers are lost.
+func (s State) UsesBudget() bool { return s.Arrived > 0 }
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -7,61 +7,61 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a booking that is sent again although it may have run.
-func TestAgain(t *testing.T) {
-	once := Attempt{Arrived: 1, Most: 2, Left: time.Second, Least: 100 * time.Millisecond}
+// Guards against a second run of a request that is not idempotent and may have run.
+func TestRetryable(t *testing.T) {
+	failed := State{Arrived: 1, MaxAttempts: 2, TimeLeft: time.Second, MinLatency: 100 * time.Millisecond}
 	for _, v := range []struct {
-		name string
-		with func(a *Attempt)
-		want bool
+		name   string
+		change func(s *State)
+		want   bool
 	}{
-		{"a lookup that may have run", func(a *Attempt) { a.Idempotent = true }, true},
-		{"a lookup after an earlier attempt", func(a *Attempt) { a.Idempotent, a.MaybeRan = true, true }, true},
-		{"a booking that may have run", func(*Attempt) {}, false},
-		{"a booking that surely did not run", func(a *Attempt) { a.NotRun = true }, true},
-		{"a booking refused after an attempt that may have run", func(a *Attempt) { a.NotRun, a.MaybeRan = true, true }, false},
-		{"no attempt is left", func(a *Attempt) { a.Idempotent, a.Arrived = true, 2 }, false},
-		{"a route that names no number has one attempt", func(a *Attempt) { a.Idempotent, a.Most = true, 0 }, false},
-		{"two dials were refused and one attempt arrived", func(a *Attempt) { a.Idempotent, a.Unsent = true, 2 }, true},
-		{"no server could be reached again and again", func(a *Attempt) { a.Idempotent, a.Arrived, a.Unsent = true, 0, unsentMost }, false},
-		{"servers were lost with the same request too often", func(a *Attempt) { a.Idempotent, a.Crashes = true, true }, false},
-		{"no answer can come in time", func(a *Attempt) { a.Idempotent, a.Left = true, 100*time.Millisecond }, false},
+		{"an idempotent request that may have run", func(s *State) { s.Idempotent = true }, true},
+		{"an idempotent request after an earlier attempt that may have run", func(s *State) { s.Idempotent, s.MaybeRan = true, true }, true},
+		{"a request that is not idempotent and may have run", func(*State) {}, false},
+		{"a request that is not idempotent and certainly did not run", func(s *State) { s.NotRun = true }, true},
+		{"a refused request that is not idempotent, after an attempt that may have run", func(s *State) { s.NotRun, s.MaybeRan = true, true }, false},
+		{"no attempt is left", func(s *State) { s.Idempotent, s.Arrived = true, 2 }, false},
+		{"a route without a number of attempts allows one", func(s *State) { s.Idempotent, s.MaxAttempts = true, 0 }, false},
+		{"two connections were refused and one attempt arrived", func(s *State) { s.Idempotent, s.Unsent = true, 2 }, true},
+		{"the limit of attempts that reach no server", func(s *State) { s.Idempotent, s.Arrived, s.Unsent = true, 0, maxUnsent }, false},
+		{"too many servers were lost while they ran the request", func(s *State) { s.Idempotent, s.CrashSuspect = true, true }, false},
+		{"no answer can come in time", func(s *State) { s.Idempotent, s.TimeLeft = true, 100*time.Millisecond }, false},
 	} {
 		Convey(v.name, t, func() {
-			a := once
-			v.with(&a)
-			So(a.Again(), ShouldEqual, v.want)
+			s := failed
+			v.change(&s)
+			So(s.Retryable(), ShouldEqual, v.want)
 		})
 	}
 }
 
-// Guards against refused connections that use up a daemon's few repeats.
-func TestWhatReachedNobodyIsNoRepeat(t *testing.T) {
-	Convey("The first attempt that arrives is none", t, func() {
-		So(Attempt{Unsent: 2}.Repeats(), ShouldBeFalse)
-		So(Attempt{Arrived: 1}.Repeats(), ShouldBeTrue)
+// Guards against refused connections that use up a daemon's retry budget.
+func TestUnsentAttemptsUseNoBudget(t *testing.T) {
+	Convey("Only an attempt after one that arrived uses the budget", t, func() {
+		So(State{Unsent: 2}.UsesBudget(), ShouldBeFalse)
+		So(State{Arrived: 1}.UsesBudget(), ShouldBeTrue)
 	})
 }
 
 func TestBudget(t *testing.T) {
-	Convey("Extra attempts stay within their share after the burst", t, func() {
+	Convey("Retries stay within their share after the burst", t, func() {
 		b := NewBudget(0.1, 5)
-		taken := 0
+		withdrawn := 0
 		for range 1000 {
-			b.Request()
-			if b.Take() {
-				taken++
+			b.Deposit()
+			if b.TryWithdraw() {
+				withdrawn++
 			}
 		}
-		So(taken, ShouldBeBetweenOrEqual, 95, 106)
+		So(withdrawn, ShouldBeBetweenOrEqual, 95, 106)
 	})
-	Convey("A share that grows or a burst that shrinks counts at once", t, func() {
+	Convey("A larger share or a smaller burst takes effect at once", t, func() {
 		b := NewBudget(0, 5)
 		b.SetBurst(1)
-		So(b.Take(), ShouldBeTrue)
-		So(b.Take(), ShouldBeFalse)
+		So(b.TryWithdraw(), ShouldBeTrue)
+		So(b.TryWithdraw(), ShouldBeFalse)
 		b.SetShare(1)
-		b.Request()
-		So(b.Take(), ShouldBeTrue)
+		b.Deposit()
+		So(b.TryWithdraw(), ShouldBeTrue)
 	})
 }
--- a/core/request/sent/doc.go
+++ b/core/request/sent/doc.go
@@ -1,15 +1,16 @@
-// Package sent remembers when requests that must run once were first sent under their
-// ids. The holder of a key knows which ids it ran. One that took over from a holder which
-// was lost does not: it has to know whether an id that is new to it may have been sent to
-// the lost one, or its request could run twice.
+// Package sent records when non-idempotent requests were first sent under their ids.
+//
+// The server that owns a key knows which ids it ran. A server that takes over the key from
+// one that was lost does not. For an id that is new to it, it must know whether the request
+// may have been sent to the lost server, or the request could run twice.
 //
 // # Usage
 //
-//	m := sent.New(2 * time.Minute)
+//	h := sent.New(2 * time.Minute)
 //	hash := sent.Hash("workshop", 61012, "order-7")
-//	first, again := m.Note(now, hash)
-//	if !again { m.Forget(hash) } // it surely did not run
-//	m.Learn(now, hash, at)       // another daemon sent it then
+//	firstSentAt, repeated := h.Record(now, hash)
+//	if !repeated { h.Forget(hash) } // if the request certainly did not run
+//	h.RecordAt(now, hash, sentAt)   // if another daemon sent it at sentAt
 //
-// A Memory is used under one lock; its functions do not fail.
+// A History is not safe for concurrent use, and its functions return no errors.
 package sent
--- a/core/request/sent/sent.go
+++ b/core/request/sent/sent.go
@@ -7,74 +7,78 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash stands for the id of a request about a key: callers that do not know of each other
-// may use the same id for different keys. Two of one hash do no harm: the second counts as
-// sent earlier than it was, which matters only once its holder is lost.
+// Hash returns a hash of a request's id together with its service and key, because independent
+// callers may use the same id for different keys. A collision is harmless: the second request
+// counts as sent earlier than it was, which matters only if the server that owns its key is
+// lost.
 func Hash(service string, key int, id string) uint64 {
 	return xxhash.Sum64String(service + " " + strconv.Itoa(key) + " " + id)
 }
 
-// Memory holds when ids were first sent, each for at least a time and at most twice that.
-type Memory struct {
-	keep    time.Duration
-	turned  time.Time
-	now     map[uint64]time.Time
-	earlier map[uint64]time.Time
+// History holds when ids were first sent. It keeps each id for at least its retention time and
+// at most twice that time.
+type History struct {
+	retention time.Duration
+	rotatedAt time.Time
+	current   map[uint64]time.Time
+	previous  map[uint64]time.Time
 }
 
-// New returns a Memory that keeps ids for a time.
-func New(keep time.Duration) *Memory {
-	return &Memory{keep: keep, now: map[uint64]time.Time{}, earlier: map[uint64]time.Time{}}
+// New returns a History with a retention time.
+func New(retention time.Duration) *History {
+	return &History{retention: retention, current: map[uint64]time.Time{}, previous: map[uint64]time.Time{}}
 }
 
-// Note remembers that an id is sent now, and returns when it first was; again tells
-// whether that was before.
-func (m *Memory) Note(now time.Time, hash uint64) (first time.Time, again bool) {
-	m.turn(now)
-	if first, again = m.first(hash); again {
-		return first, true
+// Record records that an id is sent now, and returns when it was first sent and whether it had
+// been sent before.
+func (h *History) Record(now time.Time, hash uint64) (firstSentAt time.Time, repeated bool) {
+	h.rotate(now)
+	if firstSentAt, repeated = h.firstSentAt(hash); repeated {
+		return firstSentAt, true
 	}
-	m.now[hash] = now
+	h.current[hash] = now
 	return now, false
 }
 
-// Learn takes in that an id was sent at a time, and tells whether that was news.
-func (m *Memory) Learn(now time.Time, hash uint64, at time.Time) (news bool) {
-	m.turn(now)
-	if first, ok := m.first(hash); ok && !at.Before(first) {
+// RecordAt records that an id was sent at sentAt, and reports whether the id was new or sentAt
+// is earlier than the time known before.
+func (h *History) RecordAt(now time.Time, hash uint64, sentAt time.Time) (changed bool) {
+	h.rotate(now)
+	if firstSentAt, ok := h.firstSentAt(hash); ok && !sentAt.Before(firstSentAt) {
 		return false
 	}
-	m.now[hash] = at
+	h.current[hash] = sentAt
 	return true
 }
 
-// Has tells whether an id is remembered.
-func (m *Memory) Has(hash uint64) bool {
-	_, ok := m.first(hash)
+// Has reports whether an id is recorded.
+func (h *History) Has(hash uint64) bool {
+	_, ok := h.firstSentAt(hash)
 	return ok
 }
 
-// Forget drops an id whose request surely did not run.
-func (m *Memory) Forget(hash uint64) {
-	delete(m.now, hash)
-	delete(m.earlier, hash)
+// Forget removes an id whose request certainly did not run.
+func (h *History) Forget(hash uint64) {
+	delete(h.current, hash)
+	delete(h.previous, hash)
 }
 
-// Count is how many ids are remembered.
-func (m *Memory) Count() int { return len(m.now) + len(m.earlier) }
+// Count returns the number of recorded ids. An id that is in both generations counts twice.
+func (h *History) Count() int { return len(h.current) + len(h.previous) }
 
-func (m *Memory) first(hash uint64) (time.Time, bool) {
-	at, ok := m.now[hash]
+func (h *History) firstSentAt(hash uint64) (time.Time, bool) {
+	sentAt, ok := h.current[hash]
 	if !ok {
-		at, ok = m.earlier[hash]
+		sentAt, ok = h.previous[hash]
 	}
-	return at, ok
+	return sentAt, ok
 }
 
-// turn drops the ids of the time before last.
-func (m *Memory) turn(now time.Time) {
-	if now.Sub(m.turned) < m.keep {
+// rotate starts a new generation of ids once the current one has reached the retention time, and
+// drops the one before the current one.
+func (h *History) rotate(now time.Time) {
+	if now.Sub(h.rotatedAt) < h.retention {
 		return
 	}
-	m.earlier, m.now, m.turned = m.now, map[uint64]time.Time{}, now
+	h.previous, h.current, h.rotatedAt = h.current, map[uint64]time.Time{}, now
 }
--- a/core/request/subset/subset_test.go
+++ b/core/request/subset/subset_test.go
@@ -6,41 +6,41 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against servers that no daemon turns to first, and daemons that turn to none.
-func TestEveryServerAndDaemonHasItsShare(t *testing.T) {
+// Guards against servers that no daemon prefers, and daemons that prefer no server.
+func TestEveryServerAndDaemonIsInASubset(t *testing.T) {
 	for _, v := range []struct{ daemons, servers int }{{1, 4}, {2, 3}, {3, 8}, {32, 40}, {33, 8}, {100, 500}} {
-		first := make([]int, v.daemons)
+		preferredServers := make([]int, v.daemons)
 		for server := range v.servers {
-			served := 0
+			preferringDaemons := 0
 			for daemon := range v.daemons {
 				if Rank(daemon, v.daemons, server, v.servers) == 0 {
-					first[daemon]++
-					served++
+					preferredServers[daemon]++
+					preferringDaemons++
 				}
 			}
-			if served < 1 || served > max(1, v.daemons/v.servers) {
-				t.Errorf("%d daemons turn first to server %d of %+v", served, server, v)
+			if preferringDaemons < 1 || preferringDaemons > max(1, v.daemons/v.servers) {
+				t.Errorf("%d daemons have rank 0 at server %d with %+v", preferringDaemons, server, v)
 			}
 		}
 		for daemon := range v.daemons {
-			soon := false
+			early := false
 			for server := range v.servers {
-				soon = soon || Rank(daemon, v.daemons, server, v.servers) <= 1
+				early = early || Rank(daemon, v.daemons, server, v.servers) <= 1
 			}
-			if !soon {
-				t.Errorf("daemon %d of %+v comes late at each server", daemon, v)
+			if !early {
+				t.Errorf("daemon %d has a rank above 1 at every server with %+v", daemon, v)
 			}
 		}
 	}
 }
 
-// Guards against a rank that no daemon has.
+// Guards against negative ranks and ranks that exceed the number of daemons.
 func TestRankIsInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons, servers := rapid.IntRange(1, 200).Draw(t, "daemons"), rapid.IntRange(1, 600).Draw(t, "servers")
 		rank := Rank(rapid.IntRange(0, daemons-1).Draw(t, "daemon"), daemons, rapid.IntRange(0, servers-1).Draw(t, "server"), servers)
 		if rank < 0 || rank >= daemons {
-			t.Fatalf("rank %d of %d daemons", rank, daemons)
+			t.Fatalf("rank %d is out of bounds with %d daemons", rank, daemons)
 		}
 	})
 }
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -184,7 +184,7 @@
 	if notRun && o.key >= 0 && err == nil && !declined(a) {
 		return r.giveUp(o, c, reasonNotHeld, r.comeBack(o, v, a)), false
 	}
-	if r.mayRepeat(ctx, o, notRun) && (!r.tried(o, notRun).Repeats() || r.spend(o)) {
+	if r.mayRepeat(ctx, o, notRun) && (!r.tried(o, notRun).UsesBudget() || r.spend(o)) {
 		r.logAttempt(o, v, c, a, err, "sent again")
 		return caller.Reply{}, true
 	}
@@ -199,13 +199,13 @@
 
 // mayRepeat tells whether another attempt is allowed and can still help.
 func (r *Router) mayRepeat(ctx context.Context, o *order, notRun bool) bool {
-	return ctx.Err() == nil && r.tried(o, notRun).Again()
+	return ctx.Err() == nil && r.tried(o, notRun).Retryable()
 }
 
 // tried is what is known of the attempts so far, the last of which failed.
-func (r *Router) tried(o *order, notRun bool) retry.Attempt {
-	return retry.Attempt{Idempotent: o.route.Idempotent, NotRun: notRun, MaybeRan: o.maybeRan, Arrived: o.arrived, Unsent: o.unsent,
-		Crashes: r.crashes(o), Most: o.route.Attempts, Left: time.Until(o.deadline), Least: r.leastWorth(o)}
+func (r *Router) tried(o *order, notRun bool) retry.State {
+	return retry.State{Idempotent: o.route.Idempotent, NotRun: notRun, MaybeRan: o.maybeRan, Arrived: o.arrived, Unsent: o.unsent,
+		CrashSuspect: r.crashes(o), MaxAttempts: o.route.Attempts, TimeLeft: time.Until(o.deadline), MinLatency: r.leastWorth(o)}
 }
 
 func (r *Router) logAttempt(o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error, then string) {
@@ -230,5 +230,5 @@
 func (r *Router) spend(o *order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgets[o.service.Name].Take()
+	return r.budgets[o.service.Name].TryWithdraw()
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -67,7 +67,7 @@
 	suspicions recent[*wire.Suspect]
 	// sent are the ids of requests that must run once; unanswered are those that may have
 	// run without an answer.
-	sent       *sent.Memory
+	sent       *sent.History
 	unanswered recent[firstSent]
 	burn       *burn.Meter
 	// gaps are how long ranges stayed closed.
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -46,7 +46,7 @@
 func (r *Router) noteSent(o *order) (firstSent, bool) {
 	now := time.Now()
 	r.mu.Lock()
-	first, again := r.sent.Note(now, o.hash())
+	first, again := r.sent.Record(now, o.hash())
 	r.mu.Unlock()
 	ago, name := now.Sub(first), r.protocol.Names().FirstSent
 	ms, err := strconv.ParseInt(o.Header.Get(name), 10, 64)
@@ -75,7 +75,7 @@
 		return
 	}
 	// Another copy that did not run may have made it forgotten.
-	r.sent.Learn(time.Now(), f.hash, f.at)
+	r.sent.RecordAt(time.Now(), f.hash, f.at)
 	if !unanswered {
 		return
 	}
@@ -111,7 +111,7 @@
 	now := time.Now()
 	for _, s := range news {
 		at := now.Add(-millis(s.AgoMillis))
-		if r.sent.Learn(now, s.Id, at) && !r.unanswered.add(now, firstSent{hash: s.Id, at: at}) {
+		if r.sent.RecordAt(now, s.Id, at) && !r.unanswered.add(now, firstSent{hash: s.Id, at: at}) {
 			r.meters.add("sent.notPassedOn")
 		}
 	}
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -170,7 +170,7 @@
 		b = retry.NewBudget(r.retryShare()*retryMargin, int(r.burst()))
 		r.budgets[o.service.Name] = b
 	}
-	b.Request()
+	b.Deposit()
 }
 
 func (r *Router) draw() float64 {
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -97,9 +97,9 @@
 	})
 	Convey("After the last loss that is allowed it is not sent again", t, func() {
 		r, o := crashed("a", "b")
-		So(r.tried(o, false).Again(), ShouldBeTrue)
+		So(r.tried(o, false).Retryable(), ShouldBeTrue)
 		r, o = crashed("a", "b", "c")
-		So(r.tried(o, false).Again(), ShouldBeFalse)
+		So(r.tried(o, false).Retryable(), ShouldBeFalse)
 	})
 }
 
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -32,11 +32,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if !r.suspects.Lost(now, o.print, server) {
+	if !r.suspects.RecordLoss(now, o.print, server) {
 		return
 	}
 	r.suspicions.add(now, &wire.Suspect{Fingerprint: o.print, Servers: []string{server}})
-	if r.suspects.Refused(now, o.print) {
+	if r.suspects.ShouldRefuse(now, o.print) {
 		go r.post(urgentMsg{}) // not to wait under the lock
 	}
 }
@@ -45,7 +45,7 @@
 func (r *Router) answered(o *order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.suspects.Answered(o.print)
+	r.suspects.RecordAnswer(o.print)
 }
 
 // crashes tells whether a request is refused for the servers lost with it. One that is
@@ -53,8 +53,8 @@
 func (r *Router) crashes(o *order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.need.Lost = r.suspects.Servers(o.print)
-	return r.suspects.Refused(time.Now(), o.print)
+	o.need.Lost = r.suspects.LostServers(o.print)
+	return r.suspects.ShouldRefuse(time.Now(), o.print)
 }
 
 // suspectNews lists the losses of the last moments.
@@ -74,11 +74,11 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	for _, s := range suspects {
-		if !r.suspects.Lost(now, s.Fingerprint, s.Servers...) {
+		if !r.suspects.RecordLoss(now, s.Fingerprint, s.Servers...) {
 			continue
 		}
 		r.suspicions.add(now, s)
-		refused = refused || r.suspects.Refused(now, s.Fingerprint)
+		refused = refused || r.suspects.ShouldRefuse(now, s.Fingerprint)
 	}
 	return refused
 }
