--- a/core/process/keeper/balance.go
+++ b/core/process/keeper/balance.go
@@ -33,7 +33,7 @@
 		q = est.share.queueOf(v)
 		est.queues[v.ID] = q
 	}
-	return q.Lost(est.share.rate(max(0, est.loads[holder(v)]+change)))
+	return q.LostRate(est.share.rate(max(0, est.loads[holder(v)]+change)))
 }
 
 // rate is how many requests a second keep so many slots of usual speed busy.
--- a/core/process/keeper/load_test.go
+++ b/core/process/keeper/load_test.go
@@ -56,8 +56,8 @@
 		l.meter.Add(oneService, i, n, work, aimOverWork*work)
 	}
 	m := LoadMsg{Service: oneService, Factors: l.speeds, ColdRate: l.coldRate}
-	for _, load := range l.meter.Roll(now) {
-		m.Work, m.Each, m.Aim = load.Slots, load.Each.Seconds(), load.Aim
+	for _, load := range l.meter.CloseWindow(now) {
+		m.Work, m.Each, m.Aim = load.BusySlots, load.ServiceTime.Seconds(), load.TargetLatency
 	}
 	return m
 }
@@ -115,8 +115,8 @@
 	}
 	for id, f := range l.speeds {
 		q := queue.New(int(l.slots), l.work*f, aimOverWork*l.work, 0)
-		lost += q.Lost(rates[id])
-		even += q.Lost(mean * l.slots / (l.work * f))
+		lost += q.LostRate(rates[id])
+		even += q.LostRate(mean * l.slots / (l.work * f))
 	}
 	return lost, even
 }
--- a/core/process/pace/doc.go
+++ b/core/process/pace/doc.go
@@ -1,13 +1,13 @@
-// Package pace holds how slow the backend servers are, as all daemons found them.
+// Package pace estimates how slow the backend servers are, from the measurements of all daemons.
 //
-// Each daemon reports what it found since its last report. Hundreds of daemons hear from
-// one server once a minute each, all of them together several times a second: summed up,
-// their reports tell within seconds that a holder has become slow, and cost bytes for the
-// servers in use only.
+// Each daemon reports what it measured since its last report. Each of hundreds of daemons gets an
+// answer from a server once a minute, but all of them together get several a second. Combined,
+// their reports show within seconds that a server has become slow, and they only take bytes for
+// the servers in use.
 //
-// Usage:
+// # Usage
 //
-//	book := pace.New()
-//	book.Add("a", pace.Finding{Factor: 2.5, Answers: 3})
-//	factors := book.Factors()
+//	e := pace.New()
+//	e.Add("a", pace.Sample{Factor: 2.5, Answers: 3})
+//	factors := e.Factors()
 package pace
--- a/core/process/pace/pace.go
+++ b/core/process/pace/pace.go
@@ -1,63 +1,66 @@
 package pace
 
 const (
-	// trust is the weight of the guess that a server is as fast as others, in answers.
-	trust = 4.0
-	// memory is how many answers a server's factor stands for: with the few answers a
-	// second that a holder gives, those of the last minute. Its neighbours make it slow
-	// for moments, after which its keys would only have to come back.
-	memory = 200.0
+	// priorWeight is the weight, in answers, of the assumption that a server is as fast as
+	// others.
+	priorWeight = 4.0
+	// maxWeight is how many answers a server's factor averages over. With a few answers a
+	// second from a server, these are the answers of the last minute. Other processes on the
+	// host slow a server down for moments; keys that were moved away for that would only have
+	// to be moved back.
+	maxWeight = 200.0
 )
 
-// Finding is how slow a server was: its time over the usual one, as a mean over answers.
-type Finding struct {
+// Sample is how slow a server was, as a mean over a number of answers. Its factor is the time
+// that the server took divided by the usual time.
+type Sample struct {
 	Factor  float64
 	Answers int
 }
 
-// With returns the mean of two findings.
-func (f Finding) With(o Finding) Finding {
-	n := f.Answers + o.Answers
+// With returns the weighted mean of two samples.
+func (s Sample) With(o Sample) Sample {
+	n := s.Answers + o.Answers
 	if n == 0 {
-		return f
+		return s
 	}
-	return Finding{Factor: (f.Factor*float64(f.Answers) + o.Factor*float64(o.Answers)) / float64(n), Answers: n}
+	return Sample{Factor: (s.Factor*float64(s.Answers) + o.Factor*float64(o.Answers)) / float64(n), Answers: n}
 }
 
-// Book sums up findings by server. It is not safe for concurrent use.
-type Book struct{ servers map[string]sum }
+// Estimator averages the samples of each server. It is not safe for concurrent use.
+type Estimator struct{ servers map[string]weightedMean }
 
-// sum is a mean in which older answers lose their weight.
-type sum struct{ factor, answers float64 }
+// weightedMean is a mean in which older answers lose their weight. Its weight is in answers.
+type weightedMean struct{ factor, weight float64 }
 
-// New returns a Book that has heard nothing.
-func New() *Book { return &Book{servers: map[string]sum{}} }
+// New returns an Estimator without any samples.
+func New() *Estimator { return &Estimator{servers: map[string]weightedMean{}} }
 
-// Add takes in what a daemon found since its last report.
-func (b *Book) Add(server string, f Finding) {
-	if f.Answers <= 0 {
+// Add adds what a daemon measured at a server since its last report.
+func (e *Estimator) Add(server string, sample Sample) {
+	if sample.Answers <= 0 {
 		return
 	}
-	s, n := b.servers[server], float64(f.Answers)
-	older := min(s.answers, max(0, memory-n))
-	b.servers[server] = sum{factor: (s.factor*older + f.Factor*n) / (older + n), answers: older + n}
+	mean, n := e.servers[server], float64(sample.Answers)
+	oldWeight := min(mean.weight, max(0, maxWeight-n))
+	e.servers[server] = weightedMean{factor: (mean.factor*oldWeight + sample.Factor*n) / (oldWeight + n), weight: oldWeight + n}
 }
 
-// Factors returns the servers' times over the usual ones, nearer to 1 the fewer answers
-// tell of it.
-func (b *Book) Factors() map[string]float64 {
-	out := make(map[string]float64, len(b.servers))
-	for server, s := range b.servers {
-		out[server] = (s.factor*s.answers + trust) / (s.answers + trust)
+// Factors returns the factor of each server: its time divided by the usual time. The fewer
+// answers there are from a server, the closer its factor is to 1.
+func (e *Estimator) Factors() map[string]float64 {
+	out := make(map[string]float64, len(e.servers))
+	for server, mean := range e.servers {
+		out[server] = (mean.factor*mean.weight + priorWeight) / (mean.weight + priorWeight)
 	}
 	return out
 }
 
-// Keep forgets the servers that a function does not want.
-func (b *Book) Keep(wanted func(server string) bool) {
-	for server := range b.servers {
-		if !wanted(server) {
-			delete(b.servers, server)
+// Retain removes the servers for which keep returns false.
+func (e *Estimator) Retain(keep func(server string) bool) {
+	for server := range e.servers {
+		if !keep(server) {
+			delete(e.servers, server)
 		}
 	}
 }
--- a/core/process/pace/pace_test.go
+++ b/core/process/pace/pace_test.go
@@ -8,58 +8,58 @@
 )
 
 func TestFactors(t *testing.T) {
-	Convey("A server of which little is known counts as nearly usual", t, func() {
-		b := New()
-		b.Add("a", Finding{Factor: 3, Answers: 1})
-		b.Add("b", Finding{})
-		So(b.Factors()["a"], ShouldBeBetween, 1, 1.5)
-		So(b.Factors(), ShouldNotContainKey, "b")
+	Convey("A server with few answers gets a factor near 1", t, func() {
+		e := New()
+		e.Add("a", Sample{Factor: 3, Answers: 1})
+		e.Add("b", Sample{})
+		So(e.Factors()["a"], ShouldBeBetween, 1, 1.5)
+		So(e.Factors(), ShouldNotContainKey, "b")
 	})
-	Convey("Findings count by their answers, together or one after the other", t, func() {
-		one, two := Finding{Factor: 1, Answers: 30}, Finding{Factor: 4, Answers: 10}
+	Convey("Samples are weighted by their answers, whether added together or one after another", t, func() {
+		one, two := Sample{Factor: 1, Answers: 30}, Sample{Factor: 4, Answers: 10}
 		apart, together := New(), New()
 		apart.Add("a", one)
 		apart.Add("a", two)
 		together.Add("a", one.With(two))
 		So(one.With(two).Factor, ShouldEqual, 1.75)
 		So(apart.Factors()["a"], ShouldAlmostEqual, together.Factors()["a"], 1e-9)
-		So(Finding{}.With(one), ShouldResemble, one)
+		So(Sample{}.With(one), ShouldResemble, one)
 	})
-	Convey("What left is forgotten", t, func() {
-		b := New()
-		b.Add("a", Finding{Factor: 2, Answers: 9})
-		b.Add("b", Finding{Factor: 2, Answers: 9})
-		b.Keep(func(server string) bool { return server == "b" })
-		So(b.Factors(), ShouldNotContainKey, "a")
-		So(b.Factors(), ShouldContainKey, "b")
+	Convey("Servers that are gone are removed", t, func() {
+		e := New()
+		e.Add("a", Sample{Factor: 2, Answers: 9})
+		e.Add("b", Sample{Factor: 2, Answers: 9})
+		e.Retain(func(server string) bool { return server == "b" })
+		So(e.Factors(), ShouldNotContainKey, "a")
+		So(e.Factors(), ShouldContainKey, "b")
 	})
 }
 
-// Guards against a slowed holder that no daemon hears from often enough to notice.
-func TestSlowedHolderIsNoticedByAllTogether(t *testing.T) {
-	Convey("A minute's answers tell, however many daemons got them", t, func() {
+// Guards against a slow server that goes unnoticed because each daemon gets too few answers from it.
+func TestCombinedSamplesShowSlowServer(t *testing.T) {
+	Convey("The answers of a minute show it, however many daemons got them", t, func() {
 		for _, daemons := range []int{4, 200, 1500} {
 			Convey(fmt.Sprintf("%d daemons", daemons), func() {
-				b := New()
-				for range 20 * daemons { // each heard it at usual speed before
-					b.Add("a", Finding{Factor: 1, Answers: 1})
+				e := New()
+				for range 20 * daemons { // each daemon measured the usual speed before
+					e.Add("a", Sample{Factor: 1, Answers: 1})
 				}
 				const perSecond = 5
 				for range 60 * perSecond {
-					b.Add("a", Finding{Factor: 4, Answers: 1})
+					e.Add("a", Sample{Factor: 4, Answers: 1})
 				}
-				So(b.Factors()["a"], ShouldBeGreaterThan, 3)
+				So(e.Factors()["a"], ShouldBeGreaterThan, 3)
 			})
 		}
 	})
-	Convey("A moment's do not", t, func() {
-		b := New()
+	Convey("The answers of a moment do not", t, func() {
+		e := New()
 		for range 300 {
-			b.Add("a", Finding{Factor: 1, Answers: 1})
+			e.Add("a", Sample{Factor: 1, Answers: 1})
 		}
 		for range 5 {
-			b.Add("a", Finding{Factor: 4, Answers: 1})
+			e.Add("a", Sample{Factor: 4, Answers: 1})
 		}
-		So(b.Factors()["a"], ShouldBeLessThan, 1.2)
+		So(e.Factors()["a"], ShouldBeLessThan, 1.2)
 	})
 }
--- a/core/process/queue/doc.go
+++ b/core/process/queue/doc.go
@@ -1,14 +1,14 @@
-// Package queue estimates how many requests a backend server with a few slots
-// does not answer within their aim at a load.
+// Package queue estimates how many requests a backend server with a few slots does not answer
+// within their target latency under a given load.
 //
-// The estimate is that of a queue with several slots and requests that come by
-// chance, of which those are refused that would wait for too long. It is what moves of keys are judged by: a slow server can bear much less
-// of its slots' work than a fast one before its answers are late.
+// The model is a queue with several slots and Poisson arrivals, which refuses requests that would
+// wait for too long. Moves of keys are judged by it, because the answers of a slow server become
+// late at a much lower utilisation of its slots than those of a fast one.
 //
 // # Usage
 //
 //	s := queue.New(4, 0.135, 0.3, 0)
-//	lost := s.Lost(20) // of 20 requests a second
+//	lost := s.LostRate(20) // of 20 requests a second
 //
-// Nothing here fails.
+// No function returns an error.
 package queue
--- a/core/process/queue/queue.go
+++ b/core/process/queue/queue.go
@@ -3,78 +3,79 @@
 import "math"
 
 const (
-	// spread is the standard deviation of the time that requests of one kind take
-	// at one server, over its mean: the work differs, and neighbours on the host
-	// slow it down by spells.
-	spread = 0.65
-	// patience is the part of the aim within which an answer must be expected for a
-	// request to be let in: what comes on top is refused.
-	patience = 0.8
-	// longest bounds the queues that are looked at, in requests for each slot.
-	longest = 16
+	// serviceTimeCV is the coefficient of variation of the service times of one kind of
+	// request at one server. The work of requests differs, and other processes on the host
+	// slow the server down from time to time.
+	serviceTimeCV = 0.65
+	// admitFraction is the fraction of the target latency within which an answer must be
+	// expected for a request to be admitted. Other requests are refused.
+	admitFraction = 0.8
+	// maxQueuePerSlot limits the number of requests in the model, per slot.
+	maxQueuePerSlot = 16
 )
 
-// Server is a server with what its requests take there.
+// Server is the queueing model of a server.
 type Server struct {
-	slots int
-	work  float64 // seconds
-	most  float64 // requests a second; 0 means no bound
-	// late is the share of the requests that find so many others ahead which are
-	// answered after their aim; a request that finds more than all of these is
-	// refused.
-	late []float64
+	slots       int
+	serviceTime float64 // seconds
+	maxRate     float64 // requests a second; 0 means no limit
+	// lateShares is indexed by how many other requests a request finds at the server. It
+	// holds the share of these requests that are answered after their target latency.
+	// Requests that find more others than it has entries for are refused.
+	lateShares []float64
 }
 
-// New returns a server with so many slots, at which a request takes work seconds
-// and should be answered within aim seconds. It must not be sent more than most
-// requests a second, unless that is 0.
-func New(slots int, work, aim, most float64) Server {
-	s := Server{slots: max(1, slots), work: work, most: most}
-	if work <= 0 {
+// New returns a model of a server with a number of slots, at which a request takes serviceTime
+// seconds and should be answered within targetLatency seconds. The server must not be sent more
+// than maxRate requests a second, unless maxRate is 0.
+func New(slots int, serviceTime, targetLatency, maxRate float64) Server {
+	s := Server{slots: max(1, slots), serviceTime: serviceTime, maxRate: maxRate}
+	if serviceTime <= 0 {
 		return s
 	}
-	for ahead := range s.slots * longest {
-		wait := max(0, float64(ahead+1-s.slots)/float64(s.slots)*work)
-		if ahead >= s.slots && wait+work > patience*aim {
+	for ahead := range s.slots * maxQueuePerSlot {
+		wait := max(0, float64(ahead+1-s.slots)/float64(s.slots)*serviceTime)
+		if ahead >= s.slots && wait+serviceTime > admitFraction*targetLatency {
 			break
 		}
-		s.late = append(s.late, takesLonger(work, aim-wait))
+		s.lateShares = append(s.lateShares, exceedingShare(serviceTime, targetLatency-wait))
 	}
 	return s
 }
 
-// takesLonger is the share of requests whose work takes longer than a time, taking
-// its times for log-normal.
-func takesLonger(work, than float64) float64 {
-	if than <= 0 {
+// exceedingShare returns the share of requests whose service time exceeds a limit, assuming a
+// log-normal distribution with the given mean.
+func exceedingShare(mean, limit float64) float64 {
+	if limit <= 0 {
 		return 1
 	}
-	variance := math.Log(1 + spread*spread)
-	median := math.Log(work) - variance/2
-	return 0.5 * math.Erfc((math.Log(than)-median)/math.Sqrt(2*variance))
+	variance := math.Log(1 + serviceTimeCV*serviceTimeCV)
+	logMedian := math.Log(mean) - variance/2
+	return 0.5 * math.Erfc((math.Log(limit)-logMedian)/math.Sqrt(2*variance))
 }
 
-// Lost is how many requests a second are not answered within their aim, of a rate.
-func (s Server) Lost(rate float64) float64 {
-	if rate <= 0 || s.work <= 0 {
+// LostRate returns how many requests a second are not answered within their target latency, when
+// requests arrive at a rate.
+func (s Server) LostRate(rate float64) float64 {
+	if rate <= 0 || s.serviceTime <= 0 {
 		return 0
 	}
 	sent := rate
-	if s.most > 0 {
-		sent = min(rate, s.most)
+	if s.maxRate > 0 {
+		sent = min(rate, s.maxRate)
 	}
-	return rate - sent + sent*s.lostShare(sent*s.work)
+	return rate - sent + sent*s.lostShare(sent*s.serviceTime)
 }
 
-// lostShare is the share of requests that are refused or late when the server is
-// offered so many slots' work: that of the requests which find each number of
-// others ahead, weighed by how often they do.
-func (s Server) lostShare(offered float64) float64 {
-	weight, all, lost := 1.0, 0.0, 0.0
-	for ahead, late := range s.late {
-		all += weight
-		lost += weight * late
-		weight *= offered / float64(min(ahead+1, s.slots))
+// lostShare returns the share of requests that are refused or late under an offered load, which
+// is given in busy slots. It is the mean of the shares of the requests that find each number of
+// others at the server, weighted by how often this happens.
+func (s Server) lostShare(offeredLoad float64) float64 {
+	weight, total, lost := 1.0, 0.0, 0.0
+	for ahead, lateShare := range s.lateShares {
+		total += weight
+		lost += weight * lateShare
+		weight *= offeredLoad / float64(min(ahead+1, s.slots))
 	}
-	return (lost + weight) / (all + weight) // the last weight is that of a full queue
+	return (lost + weight) / (total + weight) // the last weight is for a full queue, which refuses the request
 }
--- a/core/process/rate/rate.go
+++ b/core/process/rate/rate.go
@@ -8,102 +8,102 @@
 )
 
 const (
-	// lasting is the time over which lasting rates are averaged: with two requests a
-	// second at a server, less than ten seconds are mostly chance.
-	lasting = 12 * time.Second
-	// chance is how many standard deviations the last two windows must differ by
-	// before they count for more than the lasting rate.
-	chance = 2.0
+	// averagingTime is the time constant of the average rates. With two requests a second
+	// at a server, the counts of less than ten seconds are mostly random variation.
+	averagingTime = 12 * time.Second
+	// significantDeviations is by how many standard deviations the counts of the last two
+	// windows must differ from the average rate to override it.
+	significantDeviations = 2.0
 )
 
-// Load is what one service gets.
+// Load is the load of one service.
 type Load struct {
 	Service string
-	// Slots is how many slots of a server of usual speed each bucket keeps busy.
-	Slots []float64
-	// Each is the slot time of one request.
-	Each time.Duration
-	// Aim is within what time requests should be answered, on the average.
-	Aim time.Duration
+	// BusySlots is how many slots of a server of usual speed each bucket keeps busy.
+	BusySlots []float64
+	// ServiceTime is the mean time that a request occupies a slot.
+	ServiceTime time.Duration
+	// TargetLatency is the mean time within which requests should be answered.
+	TargetLatency time.Duration
 }
 
-// Meter counts the requests of all services.
+// Meter counts the requests of all services by bucket.
 type Meter struct {
-	buckets  int
-	services map[string]*counts
-	since    time.Time
+	buckets     int
+	services    map[string]*counts
+	windowStart time.Time
 }
 
-// counts are one service's, by bucket.
+// counts holds the counts of one service. The slices are indexed by bucket.
 type counts struct {
-	now, last []float64 // requests in this window and in the one before
-	slow      []float64 // requests a second
-	windows   int
-	requests  float64
-	work, aim time.Duration // of all requests
+	current, previous                    []float64 // requests in this window and the one before
+	average                              []float64 // requests a second
+	windows                              int
+	requests                             float64
+	totalServiceTime, totalTargetLatency time.Duration // of all requests
 }
 
-// New returns a Meter that has counted nothing.
+// New returns a Meter for services with a number of buckets.
 func New(buckets int) *Meter {
 	return &Meter{buckets: buckets, services: map[string]*counts{}}
 }
 
-// Add counts requests for a bucket, with their work and their aims in all.
-func (m *Meter) Add(service string, bucket, requests int, work, aim time.Duration) {
+// Add counts requests for a bucket, with the sums of their service times and target latencies.
+func (m *Meter) Add(service string, bucket, requests int, totalServiceTime, totalTargetLatency time.Duration) {
 	if bucket < 0 || bucket >= m.buckets {
 		return
 	}
 	c := m.services[service]
 	if c == nil {
-		c = &counts{now: make([]float64, m.buckets), last: make([]float64, m.buckets), slow: make([]float64, m.buckets)}
+		c = &counts{current: make([]float64, m.buckets), previous: make([]float64, m.buckets), average: make([]float64, m.buckets)}
 		m.services[service] = c
 	}
-	c.now[bucket] += float64(requests)
+	c.current[bucket] += float64(requests)
 	c.requests += float64(requests)
-	c.work += work
-	c.aim += aim
+	c.totalServiceTime += totalServiceTime
+	c.totalTargetLatency += totalTargetLatency
 }
 
-// Since is when the present window began.
-func (m *Meter) Since() time.Time { return m.since }
+// WindowStart returns the time at which the current window began.
+func (m *Meter) WindowStart() time.Time { return m.windowStart }
 
-// Roll closes a window and returns each service's load. What was counted before
-// the first window began counts for nothing: nobody knows for how long.
-func (m *Meter) Roll(now time.Time) []Load {
-	took := now.Sub(m.since)
-	first := m.since.IsZero()
-	m.since = now
+// CloseWindow closes the current window and returns the load of each service. The first call
+// only starts a window: it drops the counts before it, since their time span is unknown.
+func (m *Meter) CloseWindow(now time.Time) []Load {
+	window := now.Sub(m.windowStart)
+	first := m.windowStart.IsZero()
+	m.windowStart = now
 	var out []Load
 	for name, c := range m.services {
-		if first || took <= 0 {
-			clear(c.now)
+		if first || window <= 0 {
+			clear(c.current)
 			continue
 		}
-		out = append(out, c.roll(name, took))
+		out = append(out, c.closeWindow(name, window))
 	}
 	slices.SortFunc(out, func(a, b Load) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
-func (c *counts) roll(service string, took time.Duration) Load {
-	out := Load{Service: service, Slots: make([]float64, len(c.now))}
+func (c *counts) closeWindow(service string, window time.Duration) Load {
+	out := Load{Service: service, BusySlots: make([]float64, len(c.current))}
 	if c.requests > 0 {
-		out.Each = time.Duration(float64(c.work) / c.requests)
-		out.Aim = time.Duration(float64(c.aim) / c.requests)
+		out.ServiceTime = time.Duration(float64(c.totalServiceTime) / c.requests)
+		out.TargetLatency = time.Duration(float64(c.totalTargetLatency) / c.requests)
 	}
 	c.windows++
-	// The first windows count alike: averaged with a rate of nought they would show
-	// a fraction of the load for many seconds.
-	weight := max(1-math.Exp(-float64(took)/float64(lasting)), 1/float64(c.windows))
-	for i, n := range c.now {
-		c.slow[i] += weight * (n/took.Seconds() - c.slow[i])
+	// The first windows have equal weights. Averaged with an initial rate of zero, they
+	// would show only a fraction of the load for many seconds.
+	weight := max(1-math.Exp(-float64(window)/float64(averagingTime)), 1/float64(c.windows))
+	for i, n := range c.current {
+		c.average[i] += weight * (n/window.Seconds() - c.average[i])
 	}
-	e := newEstimate(c, took.Seconds())
-	e.fill(out.Slots, 0, len(c.now), e.slow[len(c.now)])
-	for i := range out.Slots {
-		out.Slots[i] *= out.Each.Seconds()
+	est := newEstimator(c, window.Seconds())
+	est.fill(out.BusySlots, 0, len(c.current), est.averageSums[len(c.current)])
+	for i := range out.BusySlots {
+		out.BusySlots[i] *= out.ServiceTime.Seconds()
 	}
-	c.last, c.now = c.now, c.last
-	clear(c.now)
+	c.previous, c.current = c.current, c.previous
+	clear(c.current)
 	return out
 }
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	window = 500 * time.Millisecond
-	work   = 90 * time.Millisecond
-	aim    = 300 * time.Millisecond
+	window        = 500 * time.Millisecond
+	serviceTime   = 90 * time.Millisecond
+	targetLatency = 300 * time.Millisecond
 )
 
-// callers send requests by chance, so many a second for each bucket.
-type callers struct {
+// traffic sends requests with Poisson arrivals, at a rate for each bucket.
+type traffic struct {
 	random *rand.Rand
 	meter  *Meter
 	now    time.Time
 	rates  []float64
 }
 
-func newCallers(rates []float64) *callers {
-	c := &callers{random: rand.New(rand.NewPCG(5, 7)), meter: New(len(rates)), now: time.Unix(1000, 0), rates: rates}
-	c.meter.Roll(c.now)
-	return c
+func newTraffic(rates []float64) *traffic {
+	t := &traffic{random: rand.New(rand.NewPCG(5, 7)), meter: New(len(rates)), now: time.Unix(1000, 0), rates: rates}
+	t.meter.CloseWindow(t.now)
+	return t
 }
 
-// pass plays some windows and returns the last load.
-func (c *callers) pass(windows int) (l Load) {
+// run simulates a number of windows and returns the load of the last one.
+func (t *traffic) run(windows int) (l Load) {
 	for range windows {
-		for i, r := range c.rates {
-			n := drawn(c.random, r*window.Seconds())
-			c.meter.Add("s", i, n, time.Duration(n)*work, time.Duration(n)*aim)
+		for i, r := range t.rates {
+			n := poisson(t.random, r*window.Seconds())
+			t.meter.Add("s", i, n, time.Duration(n)*serviceTime, time.Duration(n)*targetLatency)
 		}
-		c.now = c.now.Add(window)
-		l = c.meter.Roll(c.now)[0]
+		t.now = t.now.Add(window)
+		l = t.meter.CloseWindow(t.now)[0]
 	}
 	return l
 }
 
-// drawn draws how many requests come where so many are expected.
-func drawn(r *rand.Rand, expected float64) (n int) {
-	for t := r.ExpFloat64(); t < expected; t += r.ExpFloat64() {
+// poisson draws a number from the Poisson distribution.
+func poisson(random *rand.Rand, mean float64) (n int) {
+	for t := random.ExpFloat64(); t < mean; t += random.ExpFloat64() {
 		n++
 	}
 	return n
@@ -56,7 +56,7 @@
 	return total
 }
 
-func even(n int, rate float64) []float64 {
+func uniform(n int, rate float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = rate
@@ -66,55 +66,56 @@
 
 // Guards against a load that is underestimated in the first seconds.
 func TestStart(t *testing.T) {
-	Convey("The whole load is seen after two windows", t, func() {
-		l := newCallers(even(100, 3)).pass(2)
-		So(sum(l.Slots), ShouldBeBetween, 0.75*100*3*work.Seconds(), 1.25*100*3*work.Seconds())
-		So(l.Each, ShouldEqual, work)
-		So(l.Aim, ShouldEqual, aim)
+	Convey("The whole load is measured after two windows", t, func() {
+		l := newTraffic(uniform(100, 3)).run(2)
+		So(sum(l.BusySlots), ShouldBeBetween, 0.75*100*3*serviceTime.Seconds(), 1.25*100*3*serviceTime.Seconds())
+		So(l.ServiceTime, ShouldEqual, serviceTime)
+		So(l.TargetLatency, ShouldEqual, targetLatency)
 	})
 }
 
-// Everybody asks for one key for a few seconds.
+// Guards against a key that becomes hot, or cools down, without showing within two windows.
 func TestHotKey(t *testing.T) {
-	Convey("It is seen within two windows, and so is its end", t, func() {
-		c := newCallers(even(100, 0.5))
-		c.pass(20)
-		c.rates[7] = 60
-		So(c.pass(2).Slots[7], ShouldBeBetween, 0.6*60*work.Seconds(), 1.4*60*work.Seconds())
-		c.rates[7] = 0
-		So(c.pass(2).Slots[7], ShouldBeLessThan, 0.1*60*work.Seconds())
+	Convey("A hot key is detected within two windows, and so is its end", t, func() {
+		traffic := newTraffic(uniform(100, 0.5))
+		traffic.run(20)
+		traffic.rates[7] = 60
+		So(traffic.run(2).BusySlots[7], ShouldBeBetween, 0.6*60*serviceTime.Seconds(), 1.4*60*serviceTime.Seconds())
+		traffic.rates[7] = 0
+		So(traffic.run(2).BusySlots[7], ShouldBeLessThan, 0.1*60*serviceTime.Seconds())
 	})
-	Convey("Chance alone makes no bucket hot", t, func() {
-		c := newCallers(even(100, 0.5))
-		c.pass(20)
+	Convey("Random variation makes no bucket hot", t, func() {
+		traffic := newTraffic(uniform(100, 0.5))
+		traffic.run(20)
 		for range 20 {
-			l := c.pass(1)
-			for _, s := range l.Slots {
-				So(s, ShouldBeLessThan, 8*0.5*work.Seconds())
+			l := traffic.run(1)
+			for _, s := range l.BusySlots {
+				So(s, ShouldBeLessThan, 8*0.5*serviceTime.Seconds())
 			}
 		}
 	})
 }
 
-// Guards against a stretch of hot keys that is overlooked, since no bucket alone stands out from chance.
+// Guards against a range of hot keys that is not detected, because the count of each single bucket
+// stays within random variation.
 func TestHotNeighbours(t *testing.T) {
-	Convey("The stretch is seen as a whole within two windows, and the others stay as they are", t, func() {
-		const from, to, before, hot = 700, 780, 0.3, 3.0
-		c := newCallers(even(2048, before))
-		c.pass(20)
+	Convey("The whole range is detected within two windows, and the rates of other buckets stay the same", t, func() {
+		const from, to, usual, hot = 700, 780, 0.3, 3.0
+		traffic := newTraffic(uniform(2048, usual))
+		traffic.run(20)
 		for b := from; b < to; b++ {
-			c.rates[b] = hot
+			traffic.rates[b] = hot
 		}
-		l := c.pass(2)
-		busy := (to - from) * hot * work.Seconds()
-		So(sum(l.Slots[from:to]), ShouldBeBetween, 0.7*busy, 1.2*busy)
-		others := (2048 - to + from) * before * work.Seconds()
-		So(sum(l.Slots)-sum(l.Slots[from:to]), ShouldBeBetween, 0.85*others, 1.15*others)
-		Convey("So is its end", func() {
+		l := traffic.run(2)
+		hotSlots := (to - from) * hot * serviceTime.Seconds()
+		So(sum(l.BusySlots[from:to]), ShouldBeBetween, 0.7*hotSlots, 1.2*hotSlots)
+		otherSlots := (2048 - to + from) * usual * serviceTime.Seconds()
+		So(sum(l.BusySlots)-sum(l.BusySlots[from:to]), ShouldBeBetween, 0.85*otherSlots, 1.15*otherSlots)
+		Convey("The end of the load is detected", func() {
 			for b := from; b < to; b++ {
-				c.rates[b] = before
+				traffic.rates[b] = usual
 			}
-			So(sum(c.pass(2).Slots[from:to]), ShouldBeLessThan, 0.5*busy)
+			So(sum(traffic.run(2).BusySlots[from:to]), ShouldBeLessThan, 0.5*hotSlots)
 		})
 	})
 }
--- a/core/request/crash/doc.go
+++ b/core/request/crash/doc.go
@@ -1,6 +1,6 @@
-// Package crash counts the backend servers that were lost while a request ran, so that a
-// request which crashes every server that runs it, and which its caller keeps sending, is
-// refused after a few servers.
+// Package crash detects requests that crash the backend servers that run them. It counts the
+// servers that were lost while a request ran. A request that its caller keeps sending is refused
+// after a few lost servers.
 //
 // # Usage
 //
--- a/core/request/retry/budget.go
+++ b/core/request/retry/budget.go
@@ -14,7 +14,8 @@
 	return &Budget{share: share, tokens: float64(burst), maxTokens: float64(burst)}
 }
 
-// SetShare changes the share of the requests that may be retried.
+// SetShare changes the share of the requests that may be retried. A negative share allows no
+// retries.
 func (b *Budget) SetShare(share float64) { b.share = share }
 
 // SetBurst changes the maximum number of tokens. It depends on the number of daemons, which
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -87,7 +87,7 @@
 	}
 	for _, p := range r.spread.TakePaces(newLeader) {
 		if v, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[v.Service] {
-			f := found{Finding: pace.Finding{Factor: p.Factor, Answers: p.Answers}, heard: p.Heard, full: p.Full}
+			f := found{Sample: pace.Sample{Factor: p.Factor, Answers: p.Answers}, heard: p.Heard, full: p.Full}
 			sums[p.Server] = sums[p.Server].with(f)
 		}
 	}
--- a/io/process/router/heats.go
+++ b/io/process/router/heats.go
@@ -15,26 +15,26 @@
 // they found of the servers.
 type heats struct {
 	meter *rate.Meter
-	paces *pace.Book
+	paces *pace.Estimator
 	// heard are reports of the servers' queues since the last window.
 	heard []keeper.Report
 }
 
 // found is what daemons found of a server since they last reported.
 type found struct {
-	pace.Finding
+	pace.Sample
 	// heard and full are how many answers reported the load, and a long queue.
 	heard, full int
 }
 
 // foundOf reads what another daemon found.
 func foundOf(p *wire.Pace) found {
-	return found{Finding: pace.Finding{Factor: float64(p.Factor), Answers: int(p.Answers)}, heard: int(p.Heard), full: int(p.Full)}
+	return found{Sample: pace.Sample{Factor: float64(p.Factor), Answers: int(p.Answers)}, heard: int(p.Heard), full: int(p.Full)}
 }
 
 // with adds other findings.
 func (f found) with(o found) found {
-	return found{Finding: f.With(o.Finding), heard: f.heard + o.heard, full: f.full + o.full}
+	return found{Sample: f.With(o.Sample), heard: f.heard + o.heard, full: f.full + o.full}
 }
 
 // message is the form for other daemons.
@@ -51,7 +51,7 @@
 	}
 	for _, p := range gossip.Paces {
 		f := foundOf(p)
-		h.paces.Add(p.Server, f.Finding)
+		h.paces.Add(p.Server, f.Sample)
 		if f.heard > 0 {
 			h.heard = append(h.heard, keeper.Report{Server: p.Server, Answers: f.heard, Full: f.full})
 		}
@@ -62,12 +62,12 @@
 
 // roll closes a window and returns each service's load.
 func (h *heats) roll(now time.Time, c config.Config, f *fleet.Fleet) []keeper.LoadMsg {
-	h.paces.Keep(func(server string) bool { _, ok := f.Find(server); return ok })
+	h.paces.Retain(func(server string) bool { _, ok := f.Find(server); return ok })
 	factors := h.paces.Factors()
 	var out []keeper.LoadMsg
-	for _, l := range h.meter.Roll(now) {
+	for _, l := range h.meter.CloseWindow(now) {
 		service, _ := c.Service(l.Service)
-		out = append(out, keeper.LoadMsg{Service: l.Service, Work: l.Slots, Each: l.Each.Seconds(), Aim: l.Aim,
+		out = append(out, keeper.LoadMsg{Service: l.Service, Work: l.BusySlots, Each: l.ServiceTime.Seconds(), Aim: l.TargetLatency,
 			Factors: factors, ColdRate: service.ColdRate, Reports: h.heard})
 		h.heard = nil // they are for the holders of all services
 	}
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -79,7 +79,7 @@
 	if c.keeper != nil && c.members.GaveWay(c.lead.before, c.keeper.Table().Epoch) {
 		c.keep(now, keeper.OldLeaderMsg{At: now})
 	}
-	if now.Sub(c.heats.meter.Since()) >= heatEvery {
+	if now.Sub(c.heats.meter.WindowStart()) >= heatEvery {
 		s := c.r.current.Load()
 		for _, l := range c.heats.roll(now, s.config, s.fleet) {
 			c.keep(now, l)
