--- a/core/process/pace/pace.go
+++ b/core/process/pace/pace.go
@@ -6,8 +6,8 @@
 	priorWeight = 4.0
 	// maxWeight is how many answers a server's factor averages over. With a few answers a
 	// second from a server, these are the answers of the last minute. Other processes on the
-	// host slow a server down for moments; keys that were moved away for that would only have
-	// to be moved back.
+	// host slow a server down for moments. Keys moved away because of such a moment would
+	// soon have to be moved back.
 	maxWeight = 200.0
 )
 
--- a/core/process/rate/estimator.go
+++ b/core/process/rate/estimator.go
@@ -36,8 +36,8 @@
 }
 
 // firstHalfRate returns the part of a range's rate that belongs to the first half of the range.
-// A rate beyond the average is divided by how far the recent rates of the halves exceed their
-// averages.
+// What exceeds the average rate is split in proportion to how far the recent rate of each half
+// exceeds its own average.
 func (e estimator) firstHalfRate(from, middle, to int, rate float64) float64 {
 	first, firstExcess := e.averageAndExcess(from, middle)
 	second, secondExcess := e.averageAndExcess(middle, to)
--- a/core/process/rate/rate.go
+++ b/core/process/rate/rate.go
@@ -23,7 +23,7 @@
 	BusySlots []float64
 	// ServiceTime is the mean time that a request occupies a slot.
 	ServiceTime time.Duration
-	// TargetLatency is the mean time within which requests should be answered.
+	// TargetLatency is the mean of the times within which the requests should be answered.
 	TargetLatency time.Duration
 }
 
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -97,7 +97,7 @@
 		_, ok = l.Admit(t0, "s", 1)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("Callers are told to retry at a rate that can be served", t, func() {
+	Convey("Callers are asked to retry at a rate that can be served", t, func() {
 		l := NewLimiter(1)
 		l.SetLimits(t0, []Limit{{Service: "s", Bucket: 1, Fraction: 0.5}, {Service: "s", Bucket: 2, Fraction: 0.001}})
 		sum, refused := 0.0, 0
@@ -118,9 +118,9 @@
 // Guards against limits from a wrong estimate, which refused requests can never correct.
 func TestLimitsFollowServerReports(t *testing.T) {
 	const estimated, offered = 3.0, 12.0
-	round := func(c *Controller, i, answers, longQueue int) (float64, bool) {
+	round := func(c *Controller, i, answers, longQueueAnswers int) (float64, bool) {
 		now := t0.Add(time.Duration(i) * time.Second / 2)
-		c.Report("a", answers, longQueue)
+		c.Report("a", answers, longQueueAnswers)
 		c.EndRound(now)
 		return c.Capacity(now, "a", estimated, offered)
 	}
--- a/core/request/admit/controller.go
+++ b/core/request/admit/controller.go
@@ -34,24 +34,24 @@
 // serverState holds what a server's answers reported since the last round, and what was
 // derived from earlier reports.
 type serverState struct {
-	answers, longQueue int
-	correction         float64
-	overloadedAt       time.Time
-	limited            bool
+	answers, longQueueAnswers int
+	correction                float64
+	overloadedAt              time.Time
+	limited                   bool
 }
 
 // NewController returns a Controller without any reports.
 func NewController() *Controller { return &Controller{servers: map[string]*serverState{}} }
 
 // Report counts answers of a server, and how many of them reported a long queue.
-func (c *Controller) Report(server string, answers, longQueue int) {
+func (c *Controller) Report(server string, answers, longQueueAnswers int) {
 	s := c.servers[server]
 	if s == nil {
 		s = &serverState{correction: 1}
 		c.servers[server] = s
 	}
 	s.answers += answers
-	s.longQueue += longQueue
+	s.longQueueAnswers += longQueueAnswers
 }
 
 // EndRound updates all servers from the reports since the last round.
@@ -68,7 +68,7 @@
 	if s.answers == 0 {
 		return
 	}
-	overloaded := float64(s.longQueue) >= overloadedFraction*float64(s.answers)
+	overloaded := float64(s.longQueueAnswers) >= overloadedFraction*float64(s.answers)
 	switch {
 	case overloaded:
 		s.overloadedAt = now
@@ -78,7 +78,7 @@
 	default:
 		s.correction = 1
 	}
-	s.answers, s.longQueue = 0, 0
+	s.answers, s.longQueueAnswers = 0, 0
 }
 
 // Contended reports whether a server was overloaded recently, so that requests to it should
--- a/core/request/admit/limiter.go
+++ b/core/request/admit/limiter.go
@@ -7,10 +7,10 @@
 
 const (
 	// limitTTL is how long limits apply after the leader sent them. It sends new ones a few
-	// times a second; without them, a load that may have gone must not be refused.
+	// times a second. Without new limits, the load may have gone and must not be refused.
 	limitTTL = 2 * time.Second
-	// minRetryAfter and maxRetryAfter bound the delay after which refused callers are told
-	// to retry, before jitter.
+	// minRetryAfter and maxRetryAfter bound the delay before refused callers may retry, not
+	// counting jitter.
 	minRetryAfter = 250 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 	// retryJitter keeps callers that were refused together from retrying together.
@@ -41,7 +41,7 @@
 	return &Limiter{random: rand.New(rand.NewPCG(seed, 37))}
 }
 
-// SetLimits replaces the limits by those that the leader sent at sentAt.
+// SetLimits replaces all limits. The leader sent the new ones at sentAt.
 func (l *Limiter) SetLimits(sentAt time.Time, limits []Limit) {
 	l.fractions, l.expiresAt = make(map[bucketKey]float64, len(limits)), sentAt.Add(limitTTL)
 	for _, limit := range limits {
--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -23,8 +23,8 @@
 	return &Suspects{threshold: threshold, retention: retention, requests: map[uint64]suspect{}}
 }
 
-// RecordLoss records servers that were lost while a request ran, and reports whether any of
-// them was new, so that other daemons should be told.
+// RecordLoss records servers that were lost while a request ran. It reports whether any of them
+// was new, which other daemons need to know.
 func (s *Suspects) RecordLoss(now time.Time, fingerprint uint64, servers ...string) (changed bool) {
 	for f, v := range s.requests {
 		if now.Sub(v.lastLossAt) > s.retention {
--- a/core/request/permit/permit.go
+++ b/core/request/permit/permit.go
@@ -18,12 +18,12 @@
 	retryJitter   = 0.3
 )
 
-// Worthwhile reports whether permits pay off for requests of a service time.
+// Worthwhile reports whether permits pay off for requests with the given service time.
 func Worthwhile(serviceTime time.Duration) bool { return serviceTime >= minServiceTime }
 
 // QueueVisibility returns how much of a server's queue each daemon can see by itself, from 0
 // to 1. If only a few daemons send to the server, each sees most of its requests, and permits
-// would cost more than they tell.
+// would cost more than they gain.
 func QueueVisibility(daemons, slots int) float64 {
 	return min(1, daemonsPerSlot*float64(max(1, slots))/float64(max(1, daemons)))
 }
--- a/core/request/retry/budget.go
+++ b/core/request/retry/budget.go
@@ -8,8 +8,8 @@
 	maxTokens float64
 }
 
-// NewBudget returns a Budget that allows a share of the requests to be retried, and starts with
-// enough tokens for a burst of retries.
+// NewBudget returns a Budget that allows a share of the requests to be retried. It holds at most
+// burst tokens, and starts with all of them.
 func NewBudget(share float64, burst int) *Budget {
 	return &Budget{share: share, tokens: float64(burst), maxTokens: float64(burst)}
 }
--- a/core/request/retry/retry.go
+++ b/core/request/retry/retry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxUnsent limits the attempts of one request that reach no server, because each of them may
-// take as long as the timeout for a connection.
+// maxUnsent limits the attempts of one request that reach no server. Each of them may take as
+// long as the connection timeout.
 const maxUnsent = 3
 
 // State is what is known of a request after an attempt has failed.
--- a/core/request/subset/subset.go
+++ b/core/request/subset/subset.go
@@ -3,9 +3,9 @@
 // Many daemons, each with a few requests a second, spread them over many servers. Each daemon
 // knows what it sent itself, and what all others sent a second ago, which is longer than a
 // request takes. Without subsets, all daemons would take the same servers for idle, and requests
-// would queue there while other servers have free slots. A daemon that prefers a few servers,
-// which are others than those of most other daemons, knows from its own requests how busy they
-// are, and reuses its connections to them.
+// would queue there while other servers have free slots. So each daemon prefers a few servers,
+// different ones from most other daemons. It knows from its own requests how busy they are, and
+// reuses its connections to them.
 //
 // Servers and daemons are placed around a ring in the order of their names. A server is
 // preferred by the daemon beside it, then by the next ones along the ring. When a daemon or
