--- a/core/request/permit/permit_test.go
+++ b/core/request/permit/permit_test.go
@@ -17,7 +17,7 @@
 	return Request{Server: "a", ID: id, Slots: 3, ServiceTime: 600 * time.Millisecond, MaxLatency: 1200 * time.Millisecond, TTL: 4 * time.Second}
 }
 
-func TestAsk(t *testing.T) {
+func TestAcquire(t *testing.T) {
 	Convey("Permits are granted while an answer can come in time", t, func() {
 		i, granted := NewIssuer(1), uint64(0)
 		for id := range uint64(20) {
