--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -104,7 +104,7 @@
 	cost := (workSeconds + waitSeconds) * (1 + jitter*b.random.Float64()) / (1.001 - st.failureRate)
 	choice := Choice{Server: server, ExpectedTime: expected, canServeNow: load < float64(server.Slots) && slowdown < maxLocalSlowdown}
 	nearlyFull := load >= float64(server.Slots-1) || expectedLoad >= float64(server.Slots)/2
-	choice.Contended = nearlyFull && permit.Known(b.limits.Daemons, server.Slots) < 1
+	choice.Contended = nearlyFull && permit.QueueVisibility(b.limits.Daemons, server.Slots) < 1
 	choice.Reason = b.refusalReason(now, req, server, st, expected, load)
 	if choice.Refused() {
 		choice.RetryAfter = b.retryAfter(req, expected)
--- a/core/request/spread/simulation_test.go
+++ b/core/request/spread/simulation_test.go
@@ -180,9 +180,9 @@
 			return c, 0
 		}
 		sim.lastID++
-		permitRequest := permit.Request{Server: c.Server.ID, ID: sim.lastID, Slots: c.Server.Slots, Work: daemon.ProcessingTime(sim.now, req, c.Server),
-			Patience: daemon.LatencyBudget(req) - sim.now.Sub(req.ReceivedAt), Lasts: req.Deadline.Sub(sim.now)}
-		if sim.permits.Ask(sim.now, permitRequest).Granted {
+		permitRequest := permit.Request{Server: c.Server.ID, ID: sim.lastID, Slots: c.Server.Slots, ServiceTime: daemon.ProcessingTime(sim.now, req, c.Server),
+			MaxLatency: daemon.LatencyBudget(req) - sim.now.Sub(req.ReceivedAt), TTL: req.Deadline.Sub(sim.now)}
+		if sim.permits.Acquire(sim.now, permitRequest).Granted {
 			c.Reason = ""
 			return c, sim.lastID
 		}
@@ -194,7 +194,7 @@
 
 func (sim *simulation) endPermit(b *backend, j job) {
 	if j.permitID > 0 {
-		sim.permits.End(b.server.ID, j.permitID)
+		sim.permits.Release(b.server.ID, j.permitID)
 	}
 }
 
