--- a/core/connection/names/names.go
+++ b/core/connection/names/names.go
@@ -30,21 +30,21 @@
 	// under its id. Empty where servers keep no ids.
 	FirstSent string
 	// Lost marks the answer to such a request that may have run at a holder which was lost.
-	Lost string
+	OutcomeLost string
 }
 
 // Default are the product's own names.
 func Default() Names {
 	return Names{
-		ID:        "Catkinstep-Request-Id",
-		Deadline:  "Catkinstep-Deadline-Millis",
-		Instance:  "Catkinstep-Instance",
-		Signature: "Catkinstep-Signature",
-		NotRun:    "Catkinstep-Not-Run",
-		Load:      "Catkinstep-Load",
-		Key:       "Catkinstep-Key-Number",
-		Handover:  "Catkinstep-Handover",
-		FirstSent: "Catkinstep-First-Sent-Millis",
-		Lost:      "Catkinstep-Outcome-Lost",
+		ID:          "Catkinstep-Request-Id",
+		Deadline:    "Catkinstep-Deadline-Millis",
+		Instance:    "Catkinstep-Instance",
+		Signature:   "Catkinstep-Signature",
+		NotRun:      "Catkinstep-Not-Run",
+		Load:        "Catkinstep-Load",
+		Key:         "Catkinstep-Key-Number",
+		Handover:    "Catkinstep-Handover",
+		FirstSent:   "Catkinstep-First-Sent-Millis",
+		OutcomeLost: "Catkinstep-Outcome-Lost",
 	}
 }
--- a/core/process/keeper/balance.go
+++ b/core/process/keeper/balance.go
@@ -47,7 +47,7 @@
 // queueOf is a server as package queue sees it.
 func (s *share) queueOf(v fleet.Server) queue.Server {
 	most := 0.0
-	if v.Cold > 0 {
+	if v.ColdLeft > 0 {
 		most = s.coldRate
 	}
 	return queue.New(v.Slots, s.each*s.factor(v), s.aim.Seconds(), most)
@@ -231,7 +231,7 @@
 func (k *Keeper) giveFirstKeys(s *share, fit []fleet.Server) bool {
 	est := k.estimateOf(s)
 	bare := slices.IndexFunc(fit, func(v fleet.Server) bool {
-		return est.loads[holder(v)] == 0 || v.Cold == 0 && k.fewKeys[holder(v)]
+		return est.loads[holder(v)] == 0 || v.ColdLeft == 0 && k.fewKeys[holder(v)]
 	})
 	if len(fit) < 2 || bare < 0 {
 		return false
@@ -242,7 +242,7 @@
 	best := noPiece
 	best.worth = -have / s.power(from)
 	for _, p := range k.pieces(s, from, have) {
-		if to.Cold > 0 && s.rate(p.load) > s.coldRate*coldStart {
+		if to.ColdLeft > 0 && s.rate(p.load) > s.coldRate*coldStart {
 			continue // it would refuse most of the requests until it is warm
 		}
 		if p.worth = -max((have-p.load)/s.power(from), p.load/s.power(to)); p.worth > best.worth {
@@ -253,7 +253,7 @@
 	if best.at < 0 {
 		return false
 	}
-	if to.Cold > 0 {
+	if to.ColdLeft > 0 {
 		k.fewKeys[holder(to)] = true
 	}
 	k.move(s, s.split(best), holder(to), "server without keys")
--- a/core/process/keeper/calls_test.go
+++ b/core/process/keeper/calls_test.go
@@ -46,7 +46,7 @@
 		w.after(wait, func() { w.send(d, life, GrantedMsg{Cmd: c, At: w.now, Result: r}) })
 		return
 	}
-	if v.Born != c.Holder.Born && c.Renewal {
+	if v.StartMillis != c.Holder.StartMillis && c.Renewal {
 		w.send(d, life, GrantedMsg{Cmd: c, At: w.now, Result: grant.NotSent})
 		return
 	}
@@ -165,7 +165,7 @@
 func (w *world) takeLead(d *daemon) {
 	next := w.table
 	if w.chance(0.7) || w.calm {
-		next = next.WithHeld(w.published)
+		next = next.WithCompletedMoves(w.published)
 	}
 	next.Epoch, next.Seq = next.Epoch+1, next.Seq+1
 	next.Leader = grant.Leader{Daemon: d.name, Incarnation: d.life}
--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -114,7 +114,7 @@
 	for _, o := range opts {
 		o(k)
 	}
-	for _, s := range t.Shares {
+	for _, s := range t.Services {
 		k.shares = append(k.shares, k.takeOver(now, s))
 	}
 	return k
@@ -123,7 +123,7 @@
 // takeOver builds on what the leader before left. It may go on granting for as
 // long as its right lasts, until an answer to a grant or a release of this leader
 // shows that a server has seen a higher fence.
-func (k *Keeper) takeOver(now time.Time, s grant.Share) *share {
+func (k *Keeper) takeOver(now time.Time, s grant.ServiceRanges) *share {
 	out := &share{service: s.Service, balanced: now, firstKeysAt: now, moveTakes: moveTakes}
 	for _, r := range s.Ranges {
 		sp := &span{Range: r, until: k.runsOut(now.Add(k.leaderLease + onTheWay)), due: now, origin: grant.Kept}
@@ -175,7 +175,7 @@
 func (k *Keeper) table(stored bool) grant.Table {
 	t := grant.Table{Epoch: k.epoch, Seq: k.seq, Leader: k.leader}
 	for _, s := range k.shares {
-		out := grant.Share{Service: s.service, Ranges: make([]grant.Range, 0, len(s.spans))}
+		out := grant.ServiceRanges{Service: s.service, Ranges: make([]grant.Range, 0, len(s.spans))}
 		for _, sp := range s.spans {
 			r := sp.Range
 			switch {
@@ -186,7 +186,7 @@
 			}
 			out.Ranges = append(out.Ranges, r)
 		}
-		t.Shares = append(t.Shares, out)
+		t.Services = append(t.Services, out)
 	}
 	return t
 }
@@ -222,7 +222,7 @@
 	}
 	k.fleet, k.keyed, k.out, k.keep, k.daemons = m.Fleet, m.Keyed, m.Out, m.Keep, m.Daemons
 	for h := range k.ended {
-		if s, ok := k.fleet.Find(h.Server); (!ok || s.Born != h.Born) && !k.named(h) {
+		if s, ok := k.fleet.Find(h.Server); (!ok || s.StartMillis != h.StartMillis) && !k.named(h) {
 			delete(k.ended, h)
 		}
 	}
--- a/core/process/keeper/limits.go
+++ b/core/process/keeper/limits.go
@@ -40,7 +40,7 @@
 // contendedOf lists the servers of one service for which daemons need permits.
 func (k *Keeper) contendedOf(now time.Time, s *share) []string {
 	var out []string
-	for _, v := range k.fleet.Of(s.service) {
+	for _, v := range k.fleet.ByService(s.service) {
 		if k.permits(s, v) && k.limiter.control.Contended(now, v.ID) {
 			out = append(out, v.ID)
 		}
@@ -69,7 +69,7 @@
 		}
 	}
 	var out []admit.Limit
-	for _, v := range k.fleet.Of(s.service) {
+	for _, v := range k.fleet.ByService(s.service) {
 		out = append(out, k.limitsAt(now, s, v, buckets[holder(v)])...)
 	}
 	return out
--- a/core/process/keeper/limits_test.go
+++ b/core/process/keeper/limits_test.go
@@ -26,8 +26,8 @@
 // admitted is the load of each server that limits leave, as a share of its slots.
 func (l *load) admitted(s *story, parts map[int]float64) map[string]float64 {
 	out := map[string]float64{}
-	for _, r := range s.k.Table().Shares[0].Ranges {
-		for b := Bucket(r.From); r.Open() && b <= Bucket(r.To); b++ {
+	for _, r := range s.k.Table().Services[0].Ranges {
+		for b := Bucket(r.From); r.IsOpen() && b <= Bucket(r.To); b++ {
 			part, limited := parts[b]
 			if !limited {
 				part = 1
--- a/core/process/keeper/load_test.go
+++ b/core/process/keeper/load_test.go
@@ -43,7 +43,7 @@
 	for i := range servers {
 		id := fmt.Sprintf("s%03d", i)
 		l.speeds[id] = []float64{0.6, 1, 1.4}[i%3]
-		list = append(list, fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "x", Slots: 4, Born: 1})
+		list = append(list, fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "x", Slots: 4, StartMillis: 1})
 	}
 	return l, list
 }
@@ -77,7 +77,7 @@
 // mean that of all of them together.
 func (l *load) busiest(t grant.Table) (most, mean float64) {
 	busy, work, power := map[string]float64{}, 0.0, 0.0
-	for _, r := range t.Shares[0].Ranges {
+	for _, r := range t.Services[0].Ranges {
 		for b := Bucket(r.From); b <= Bucket(r.To); b++ {
 			w := l.rates[b] * l.work
 			work += w
@@ -95,7 +95,7 @@
 
 // rateOf is how many requests a second a server gets.
 func (l *load) rateOf(t grant.Table, server string) (rate float64) {
-	for _, r := range t.Shares[0].Ranges {
+	for _, r := range t.Services[0].Ranges {
 		for b := Bucket(r.From); r.Holder.Server == server && b <= Bucket(r.To); b++ {
 			rate += l.rates[b]
 		}
@@ -108,7 +108,7 @@
 func (l *load) lost(t grant.Table) (lost, even float64) {
 	_, mean := l.busiest(t)
 	rates := map[string]float64{}
-	for _, r := range t.Shares[0].Ranges {
+	for _, r := range t.Services[0].Ranges {
 		for b := Bucket(r.From); b <= Bucket(r.To); b++ {
 			rates[r.Holder.Server] += l.rates[b]
 		}
@@ -170,14 +170,14 @@
 		l, _, s := started(200)
 		hot := 0
 		for b := range Buckets {
-			if g, _ := s.k.Table().Owner(oneService, b*bucketKeys); l.speeds[g.Holder.Server] == 1.4 {
+			if g, _ := s.k.Table().RangeOf(oneService, b*bucketKeys); l.speeds[g.Holder.Server] == 1.4 {
 				hot = b
 			}
 		}
 		l.rates[hot] = 65
 		stays, _ := l.lost(s.k.Table())
 		l.pass(s, 2*time.Second)
-		g, _ := s.k.Table().Owner(oneService, hot*bucketKeys)
+		g, _ := s.k.Table().RangeOf(oneService, hot*bucketKeys)
 		So(l.speeds[g.Holder.Server], ShouldEqual, 0.6)
 		lost, _ := l.lost(s.k.Table())
 		t.Logf("%.1f requests a second would be lost where the key was, %.1f are", stays, lost)
@@ -190,7 +190,7 @@
 	Convey("Hardly any other key moves with it", t, func() {
 		l, _, s := started(200)
 		table, hot := s.k.Table(), -1
-		for _, r := range table.Shares[0].Ranges {
+		for _, r := range table.Services[0].Ranges {
 			if l.speeds[r.Holder.Server] == 1.4 && Bucket(r.To)-Bucket(r.From) > 40 {
 				hot = (Bucket(r.From) + Bucket(r.To)) / 2
 			}
@@ -199,7 +199,7 @@
 		l.rates[hot] = 65
 		s.cmds = nil
 		l.pass(s, 2*time.Second)
-		g, _ := s.k.Table().Owner(oneService, hot*bucketKeys)
+		g, _ := s.k.Table().RangeOf(oneService, hot*bucketKeys)
 		So(l.speeds[g.Holder.Server], ShouldEqual, 0.6)
 		So(Bucket(g.To)-Bucket(g.From), ShouldBeLessThan, 4)
 	})
--- a/core/process/keeper/move.go
+++ b/core/process/keeper/move.go
@@ -47,7 +47,7 @@
 		return true
 	}
 	v, ok := k.fleet.Find(h.Server)
-	return ok && v.Born != h.Born
+	return ok && v.StartMillis != h.StartMillis
 }
 
 // reborn tells whether another life answers in the name and at the address of one
@@ -55,7 +55,7 @@
 // the range, and has to release it like any holder.
 func (k *Keeper) reborn(h grant.Holder) bool {
 	v, ok := k.fleet.Find(h.Server)
-	return ok && v.Born != h.Born && v.Address == h.Address && !k.ended[h]
+	return ok && v.StartMillis != h.StartMillis && v.Address == h.Address && !k.ended[h]
 }
 
 // fits tells whether a server may get keys.
--- a/core/process/keeper/moves_test.go
+++ b/core/process/keeper/moves_test.go
@@ -15,7 +15,7 @@
 func TestOneMoveAtATimeForAServer(t *testing.T) {
 	Convey("No server takes part in two moves for balance", t, func() {
 		l, _, s := started(200)
-		r := s.k.Table().Shares[0].Ranges[0]
+		r := s.k.Table().Services[0].Ranges[0]
 		for i := range 4 { // more than its holder can run, in several places
 			l.rates[Bucket(r.From)+i*(Bucket(r.To)-Bucket(r.From))/4] = 40
 		}
@@ -48,7 +48,7 @@
 		for _, v := range list[7:] {
 			delete(l.speeds, v.ID)
 			cold := named("cold"+v.ID, false)
-			cold.Cold, cold.Slots = 3*time.Second, 4
+			cold.ColdLeft, cold.Slots = 3*time.Second, 4
 			l.speeds[cold.ID] = 1
 			left = append(left, cold)
 		}
@@ -65,14 +65,14 @@
 	Convey("Its first keys bring no more than it bears, later ones come when it is warm", t, func() {
 		l, list, s := started(400)
 		cold := named("cold", false)
-		cold.Cold, cold.Slots = 3*time.Second, 4
+		cold.ColdLeft, cold.Slots = 3*time.Second, 4
 		l.speeds[cold.ID], l.coldRate = 1, 11
 		s.fleet(append(slices.Clone(list), cold)...)
 		l.pass(s, 3*time.Second)
 		rate := l.rateOf(s.k.Table(), cold.ID)
 		t.Logf("cold it gets %.1f requests a second", rate)
 		So(rate, ShouldBeBetween, 0, 11)
-		cold.Cold = 0
+		cold.ColdLeft = 0
 		s.fleet(append(slices.Clone(list), cold)...)
 		l.pass(s, 5*time.Second)
 		warm := l.rateOf(s.k.Table(), cold.ID)
@@ -125,14 +125,14 @@
 func TestOnlyCalmRangesAreJoined(t *testing.T) {
 	start := func() *story {
 		a := holder(named("a", false))
-		table := grant.Table{Epoch: 2, Seq: 10, Leader: grant.Leader{Daemon: "d", Incarnation: 1}, Shares: []grant.Share{{Service: oneService,
+		table := grant.Table{Epoch: 2, Seq: 10, Leader: grant.Leader{Daemon: "d", Incarnation: 1}, Services: []grant.ServiceRanges{{Service: oneService,
 			Ranges: []grant.Range{{From: 0, To: 32767, Holder: a}, {From: 32768, To: grant.LastKey, Holder: a}}}}}
 		s := &story{now: time.Unix(1000, 0)}
 		s.k = New(s.now, table, 5, WithHold(2*time.Second))
 		s.fleet(named("a", false))
 		return s
 	}
-	ranges := func(s *story) int { return len(s.k.Table().Shares[0].Ranges) }
+	ranges := func(s *story) int { return len(s.k.Table().Services[0].Ranges) }
 	Convey("With a call out they stay apart", t, func() {
 		s := start()
 		for range 80 { // no call is answered
--- a/core/process/keeper/origin_test.go
+++ b/core/process/keeper/origin_test.go
@@ -72,13 +72,13 @@
 			return grant.Done
 		}, always(grant.Done))
 		So(s.grantsTo("b"), ShouldNotBeEmpty)
-		stored := s.k.table(true).Shares[0].Ranges[0]
+		stored := s.k.table(true).Services[0].Ranges[0]
 		So(stored.Holder, ShouldResemble, holder(a))
 		So(stored.Next, ShouldResemble, holder(b))
 		next := begin(stored)
 		next.fleet(a, b)
 		next.lets(time.Minute, grant.Done)
 		So(originsOf(next.grantsTo("b")), ShouldResemble, []grant.Origin{grant.Handed, grant.Kept})
-		So(next.k.table(true).Shares[0].Ranges[0].Holder, ShouldResemble, holder(b))
+		So(next.k.table(true).Services[0].Ranges[0].Holder, ShouldResemble, holder(b))
 	})
 }
--- a/core/process/keeper/place.go
+++ b/core/process/keeper/place.go
@@ -99,7 +99,7 @@
 
 func (k *Keeper) fitting(service string) []fleet.Server {
 	var fit []fleet.Server
-	for _, v := range k.fleet.Of(service) {
+	for _, v := range k.fleet.ByService(service) {
 		if k.fits(v) {
 			fit = append(fit, v)
 		}
@@ -108,5 +108,5 @@
 }
 
 func holder(v fleet.Server) grant.Holder {
-	return grant.Holder{Server: v.ID, Born: v.Born, Address: v.Address}
+	return grant.Holder{Server: v.ID, StartMillis: v.StartMillis, Address: v.Address}
 }
--- a/core/process/keeper/story_test.go
+++ b/core/process/keeper/story_test.go
@@ -18,14 +18,14 @@
 }
 
 func named(id string, draining bool) fleet.Server {
-	return fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "x", Slots: 3, Born: 1, Draining: draining}
+	return fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "x", Slots: 3, StartMillis: 1, Draining: draining}
 }
 
 // begin makes a leader of epoch 2 that found one range in the stored table.
 func begin(r grant.Range, opts ...Option) *story {
 	r.To = grant.LastKey
 	t := grant.Table{Epoch: 2, Seq: 10, Leader: grant.Leader{Daemon: "d", Incarnation: 1},
-		Shares: []grant.Share{{Service: oneService, Ranges: []grant.Range{r}}}}
+		Services: []grant.ServiceRanges{{Service: oneService, Ranges: []grant.Range{r}}}}
 	s := &story{now: time.Unix(1000, 0)}
 	s.k = New(s.now, t, 5, opts...)
 	return s
@@ -200,10 +200,10 @@
 		had := len(s.grantsTo("a"))
 		s.pass(unresponsiveFor-3*time.Second, answer, answer)
 		So(len(s.grantsTo("a")), ShouldEqual, had)
-		So(s.k.Table().Shares[0].Ranges, ShouldNotBeEmpty)
-		for _, r := range s.k.Table().Shares[0].Ranges {
+		So(s.k.Table().Services[0].Ranges, ShouldNotBeEmpty)
+		for _, r := range s.k.Table().Services[0].Ranges {
 			So(r.Holder.Server, ShouldNotEqual, "a")
-			So(r.Open(), ShouldBeTrue)
+			So(r.IsOpen(), ShouldBeTrue)
 		}
 	})
 	Convey("It is tried again after a while, and has keys once it answers", t, func() {
@@ -247,9 +247,9 @@
 			WithHold(2*time.Second), WithLeaderLease(8*time.Second))
 		s.fleet(named("a", false), named("b", false))
 		s.pass(time.Second, always(grant.Done), always(grant.Done))
-		r := s.k.Table().Shares[0].Ranges[0]
+		r := s.k.Table().Services[0].Ranges[0]
 		So(r.Holder.Server, ShouldEqual, "b")
-		So(r.Open(), ShouldBeTrue)
+		So(r.IsOpen(), ShouldBeTrue)
 	})
 }
 
@@ -259,7 +259,7 @@
 		old := named("a", false)
 		s := begin(grant.Range{Holder: holder(old)}, WithHold(2*time.Second), WithLeaderLease(8*time.Second))
 		reborn := old
-		reborn.Born, reborn.Draining = 2, true
+		reborn.StartMillis, reborn.Draining = 2, true
 		s.fleet(reborn, named("b", false))
 		return s
 	}
@@ -290,7 +290,7 @@
 		old := named("a", false)
 		s := begin(grant.Range{Holder: holder(old)}, WithHold(2*time.Second), WithLeaderLease(8*time.Second))
 		reborn := old
-		reborn.Born, reborn.Draining = 2, true
+		reborn.StartMillis, reborn.Draining = 2, true
 		s.fleet(reborn, named("b", false))
 		s.pass(time.Second, always(grant.Done), always(grant.Done))
 		So(s.grantsTo("b"), ShouldNotBeEmpty)
--- a/core/process/keeper/world_test.go
+++ b/core/process/keeper/world_test.go
@@ -76,7 +76,7 @@
 }
 
 func (w *world) birth(id string) {
-	v := &server{Server: fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "a", Slots: 3, Born: w.now.UnixMilli()},
+	v := &server{Server: fleet.Server{ID: id, Address: id, Service: oneService, DataCentre: "a", Slots: 3, StartMillis: w.now.UnixMilli()},
 		alive: true, listed: true, slow: 1 + 0.02*w.random.Float64()}
 	w.servers = append(w.servers, v)
 }
--- a/core/process/member/doc.go
+++ b/core/process/member/doc.go
@@ -1,12 +1,13 @@
-// Package member is what a daemon knows of the other daemons: who lives, who has
-// answers from the platform, and so which of them reads the platform for the
-// others and which may take the lead. In each data centre two daemons, the relays,
-// pass gossip on for the rest: the others talk to them only, and relays talk to each other.
+// Package member tracks the other daemons that a daemon knows: which are alive and which
+// get responses from the platform's object store (the store). From that it decides which
+// daemon reads the store on behalf of the others and which may become the leader. In each
+// data centre two daemons, the relays, forward gossip: the other daemons of the data centre
+// gossip with them only, and relays of different data centres gossip with each other.
 //
 // # Usage
 //
 //	c := member.New(self, now)
-//	c.Heard(now, member, member.Status{...})
-//	if c.Reads(now) { ... }
-//	if c.MayLead(now, leader) { ... }
+//	c.RecordGossip(now, peer, member.Status{...})
+//	if c.ShouldRead(now, currentAt, leading) { ... }
+//	if try, _ := c.ShouldTakeLead(now, leader); try { ... }
 package member
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -7,168 +7,180 @@
 )
 
 const (
-	// silentAfter is how long a daemon may say nothing before it counts as lost.
-	// Daemons gossip every half second; two messages may be lost.
-	silentAfter = 1500 * time.Millisecond
-	// rankStep keeps daemons from taking the lead all at once; a conditional
-	// update takes a few milliseconds and its news a few more.
-	rankStep = 150 * time.Millisecond
-	// staleAfter is how old a daemon's news of the platform may be before it asks
-	// the platform itself. The leader's watch hears nothing for up to 0.6 s,
-	// pauses for 0.3 s, and its gossip takes another 0.5 s; with less than that all
-	// daemons would read. A leader that alone is refused by the platform must be
-	// stood in for before a leaving server has to be known, two seconds after its
-	// word.
+	// silenceTimeout is how long after its last gossip a daemon of the same data centre, or a
+	// leader, counts as lost. Daemons gossip every half second; two messages may be lost.
+	silenceTimeout = 1500 * time.Millisecond
+	// rankDelay is how much longer each candidate waits than the one ranked before it, so
+	// that they don't all try to take the lead at once. A conditional update of the store
+	// takes a few milliseconds, and the gossip about it a few more.
+	rankDelay = 150 * time.Millisecond
+	// staleAfter is how old a daemon's copy of the store may be before the daemon reads the
+	// store itself. The leader's watch returns nothing for up to 0.6 s and pauses for
+	// 0.3 s, and its gossip takes another 0.5 s; with a shorter limit all daemons
+	// would read. It must also be short enough to replace a leader that is the only one
+	// the store refuses: two seconds after a server announces that it leaves, the daemons
+	// must know of it.
 	staleAfter = 1600 * time.Millisecond
-	// muchStronger is by how many times a host must be stronger than the leader's for its
-	// daemon to take over: each change of the leader holds up moves for a moment.
-	muchStronger = 2.0
-	// outAfter is how long a leader may fail to reach the platform, while others
-	// do, before it gives way.
-	outAfter = 1200 * time.Millisecond
-	// farSilentAfter is the same for daemons of other data centres, which gossip
-	// every four seconds unless they lead.
-	farSilentAfter = 9 * time.Second
-	// forgetAfter drops daemons that were not heard of any more, and that a call
-	// did not find.
+	// takeoverStrengthRatio is how many times as strong as the leader's host a host must be
+	// for its daemon to take over. Each change of leader briefly delays moves of key
+	// ranges, so a small advantage is not enough.
+	takeoverStrengthRatio = 2.0
+	// storeOutageTimeout is how long a leader may get no response from the store, while
+	// other daemons do, before it steps down.
+	storeOutageTimeout = 1200 * time.Millisecond
+	// remoteSilenceTimeout is silenceTimeout for daemons of other data centres, which
+	// gossip every four seconds unless they lead.
+	remoteSilenceTimeout = 9 * time.Second
+	// forgetAfter is how long after the last contact a daemon that also failed to answer a
+	// call is removed from the list.
 	forgetAfter = 30 * time.Second
 )
 
-// Member is one life of a daemon.
+// Member identifies one incarnation of a daemon: a single run of its process.
 type Member struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	DataCentre  string `json:"dataCentre"`
 	Incarnation uint64 `json:"incarnation"`
-	// Strength is the host's share of a processor; 0 where it is not known.
+	// Strength is the processing capacity of the host, in cores of usual speed; 0 if unknown.
 	Strength float64 `json:"strength,omitempty"`
 }
 
-// Status is what a daemon says of itself.
+// Status is what a daemon reports about itself in gossip.
 type Status struct {
-	// Leaving daemons stop, or give way as leaders.
+	// Leaving is set when the daemon is shutting down or stepping down as leader.
 	Leaving bool
-	// Stored is when the daemon itself last had an answer of the platform.
-	Stored time.Time
-	// Failed is when the platform last did not answer it; zero if it did since.
-	Failed time.Time
-	// Epoch is that of the newest table that it knows.
+	// LastStoreResponse is when the store last answered the daemon's own request.
+	LastStoreResponse time.Time
+	// LastStoreFailure is when the daemon's request to the store last failed; zero if one
+	// has succeeded since.
+	LastStoreFailure time.Time
+	// Epoch is the epoch of the newest table that the daemon knows.
 	Epoch uint64
 }
 
 type peer struct {
 	Member
 	Status
-	heard time.Time
-	gone  bool
-	// missed is when a call last got no answer, since it was last heard.
-	missed time.Time
+	lastHeard time.Time
+	// refused is set when the daemon's address refused a connection after the last contact.
+	refused bool
+	// unansweredAt is when a call last got no answer; zero if the daemon has sent gossip since.
+	unansweredAt time.Time
 }
 
-// Cluster is the state; one goroutine owns it.
+// Cluster is the list of daemons as seen by one of them. It is not safe for concurrent use.
 type Cluster struct {
-	self   Member
-	since  time.Time
-	stored time.Time
-	failed time.Time
-	peers  map[string]*peer // by name
-	// known is the leader last asked about, and since when it has been known: a
-	// leader that nothing was heard of yet is given as long as a silent one.
-	known      grant.Leader
-	knownSince time.Time
-	// missed is the leader that is missed, and since when.
-	missed      grant.Leader
-	missedSince time.Time
-	// relaysAt are the relays of each data centre as they were at a moment, of use for
-	// relaysLast or until a peer changes: they are asked for many times a second.
-	relaysAt   map[string][]Member
-	relaysTime time.Time
-	near       int // daemons of the own data centre, this one included; 0 if not counted
+	self              Member
+	startedAt         time.Time
+	lastStoreResponse time.Time
+	lastStoreFailure  time.Time
+	peers             map[string]*peer // by name
+	// observedLeader is the leader of the last call to ShouldTakeLead, and observedSince
+	// when it first appeared there. A leader that has sent no gossip yet gets
+	// silenceTimeout from then on.
+	observedLeader grant.Leader
+	observedSince  time.Time
+	// lostLeader is the leader that counts as lost, and lostSince the moment from which
+	// candidates count their delay.
+	lostLeader grant.Leader
+	lostSince  time.Time
+	// relaysByDataCentre caches the relays, which are looked up many times a second. It is
+	// valid for relayCacheTTL after relaysComputedAt, or until a peer changes.
+	relaysByDataCentre map[string][]Member
+	relaysComputedAt   time.Time
+	// localCount is the number of daemons in the own data centre, this one included; 0 if
+	// they have not been counted since a peer changed.
+	localCount int
 }
 
-// New returns a Cluster that has heard of nobody.
+// New returns a Cluster that knows no other daemon.
 func New(self Member, now time.Time) *Cluster {
-	return &Cluster{self: self, since: now, peers: map[string]*peer{}}
+	return &Cluster{self: self, startedAt: now, peers: map[string]*peer{}}
 }
 
 // Self returns this daemon.
 func (c *Cluster) Self() Member { return c.self }
 
-// Stored notes an answer of the platform to this daemon.
-func (c *Cluster) Stored(now time.Time) { c.stored, c.failed = now, time.Time{} }
+// RecordStoreResponse records that the store answered this daemon.
+func (c *Cluster) RecordStoreResponse(now time.Time) {
+	c.lastStoreResponse, c.lastStoreFailure = now, time.Time{}
+}
 
-// LastStored is when the platform last answered this daemon.
-func (c *Cluster) LastStored() time.Time { return c.stored }
+// LastStoreResponse is when the store last answered this daemon.
+func (c *Cluster) LastStoreResponse() time.Time { return c.lastStoreResponse }
 
-// Met adds a daemon that was only read of. It counts as lost until heard.
-func (c *Cluster) Met(m Member) {
+// AddDiscovered adds a daemon that was found in the store. It does not count as alive until
+// its first gossip arrives.
+func (c *Cluster) AddDiscovered(m Member) {
 	if m.Name == c.self.Name {
 		return
 	}
 	p := c.peers[m.Name]
 	if p == nil || p.Incarnation < m.Incarnation {
 		c.peers[m.Name] = &peer{Member: m}
-		c.changed()
+		c.invalidate()
 	}
 }
 
-// Heard takes in what a daemon says of itself.
-func (c *Cluster) Heard(now time.Time, m Member, w Status) {
+// RecordGossip records a daemon's gossip about itself.
+func (c *Cluster) RecordGossip(now time.Time, m Member, status Status) {
 	if m.Name == c.self.Name {
 		return
 	}
 	p := c.peers[m.Name]
 	if p != nil && p.Incarnation > m.Incarnation {
-		return // delayed message of a life that has ended
+		return // delayed message of an earlier incarnation
 	}
-	c.peers[m.Name] = &peer{Member: m, Status: w, heard: now}
-	if p == nil || p.Member != m || p.Leaving != w.Leaving || p.gone || !p.missed.IsZero() {
-		c.changed()
+	c.peers[m.Name] = &peer{Member: m, Status: status, lastHeard: now}
+	if p == nil || p.Member != m || p.Leaving != status.Leaving || p.refused || !p.unansweredAt.IsZero() {
+		c.invalidate()
 	}
 }
 
-// Refused notes that connections to a daemon's address are refused. Its process
-// has ended, or a cut refuses them in its place: reason enough to take the lead
-// at once, but no proof that it has stopped leading.
-func (c *Cluster) Refused(address string) {
+// RecordRefused records that a daemon's address refuses connections. Either its process has
+// ended, or a network partition rejects them. That is reason enough to take the lead at once,
+// but no proof that the daemon has stopped leading.
+func (c *Cluster) RecordRefused(address string) {
 	for _, p := range c.peers {
 		if p.Address == address {
-			p.gone = true
-			c.changed()
+			p.refused = true
+			c.invalidate()
 		}
 	}
 }
 
-// Missed notes that a call to a daemon's address got no answer.
-func (c *Cluster) Missed(now time.Time, address string) {
+// RecordUnanswered records that a call to a daemon's address got no answer.
+func (c *Cluster) RecordUnanswered(now time.Time, address string) {
 	for _, p := range c.peers {
 		if p.Address == address {
-			p.missed = now
-			c.changed()
+			p.unansweredAt = now
+			c.invalidate()
 		}
 	}
 }
 
-// HeardOf takes in when another daemon heard of a third one.
-func (c *Cluster) HeardOf(name string, incarnation uint64, at time.Time) {
-	if p := c.peers[name]; p != nil && p.Incarnation == incarnation && at.After(p.heard) {
-		p.heard, p.gone = at, false
-		c.changed()
+// RecordIndirectContact records when another daemon last had contact with the named one.
+func (c *Cluster) RecordIndirectContact(name string, incarnation uint64, at time.Time) {
+	if p := c.peers[name]; p != nil && p.Incarnation == incarnation && at.After(p.lastHeard) {
+		p.lastHeard, p.refused = at, false
+		c.invalidate()
 	}
 }
 
-// changed makes what was worked out from the peers void.
-func (c *Cluster) changed() { c.relaysAt, c.near = nil, 0 }
+// invalidate clears what was cached about the peers.
+func (c *Cluster) invalidate() { c.relaysByDataCentre, c.localCount = nil, 0 }
 
-// HeardAt is when a daemon was last heard, of itself or by others.
-func (c *Cluster) HeardAt(name string) time.Time {
+// LastHeard is when this daemon, or another one that reported it, last had contact with the
+// named daemon; zero if never.
+func (c *Cluster) LastHeard(name string) time.Time {
 	if p := c.peers[name]; p != nil {
-		return p.heard
+		return p.lastHeard
 	}
 	return time.Time{}
 }
 
-// AddressOf finds a daemon by name; "" when it is not known.
+// AddressOf returns the address of a daemon by name, or "" if it is unknown.
 func (c *Cluster) AddressOf(name string) string {
 	if p := c.peers[name]; p != nil {
 		return p.Address
@@ -176,11 +188,11 @@
 	return ""
 }
 
-// Count is how many daemons there may be, this one included. Lost ones count,
-// since they may still send to servers.
+// Count is the number of known daemons, this one included. Lost daemons count as well, since
+// they may still send requests to servers.
 func (c *Cluster) Count() int { return len(c.peers) + 1 }
 
-// Index is where this daemon stands among all that there may be, by name.
+// Index is the position of this daemon among all known daemons, ordered by name.
 func (c *Cluster) Index() int {
 	n := 0
 	for name := range c.peers {
@@ -191,9 +203,9 @@
 	return n
 }
 
-// NearIndex is where this daemon stands among those of its data centre that there may be, by
-// name, and how many these are.
-func (c *Cluster) NearIndex() (index, count int) {
+// LocalIndex returns the position of this daemon among the known daemons of its data centre,
+// ordered by name, and the number of these daemons.
+func (c *Cluster) LocalIndex() (index, count int) {
 	count = 1
 	for name, p := range c.peers {
 		if p.DataCentre != c.self.DataCentre {
@@ -207,45 +219,46 @@
 	return index, count
 }
 
-// GivesWay tells whether a leader should let another lead, since the platform
-// answers others and not it.
-func (c *Cluster) GivesWay(now time.Time) bool {
-	if now.Sub(c.stored) < outAfter {
+// ShouldStepDown reports whether this daemon, if it leads, should step down because the store
+// answers other daemons but not this one.
+func (c *Cluster) ShouldStepDown(now time.Time) bool {
+	if now.Sub(c.lastStoreResponse) < storeOutageTimeout {
 		return false
 	}
 	for _, p := range c.peers {
-		if c.lives(now, p) && !p.Leaving && p.Stored.After(c.stored) && now.Sub(p.Stored) < outAfter/2 {
+		if c.isAlive(now, p) && !p.Leaving && p.LastStoreResponse.After(c.lastStoreResponse) && now.Sub(p.LastStoreResponse) < storeOutageTimeout/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// MayLead tells whether this daemon should try to take the lead from a leader.
-// ended says that the leader's life is proven over.
-func (c *Cluster) MayLead(now time.Time, l grant.Leader) (try, ended bool) {
-	if c.known != l {
-		c.known, c.knownSince = l, now
+// ShouldTakeLead reports whether this daemon should try to take the lead from the given
+// leader. If ended is set, that incarnation of the leader is proven to have ended.
+func (c *Cluster) ShouldTakeLead(now time.Time, l grant.Leader) (try, ended bool) {
+	if c.observedLeader != l {
+		c.observedLeader, c.observedSince = l, now
 	}
-	since, missing, ended := c.missing(now, l)
-	if !missing {
-		c.missed = grant.Leader{}
+	since, leaderLost, ended := c.leaderLost(now, l)
+	if !leaderLost {
+		c.lostLeader = grant.Leader{}
 		return false, ended
 	}
-	if c.missed != l || c.missedSince.IsZero() {
-		c.missed, c.missedSince = l, since
+	if c.lostLeader != l || c.lostSince.IsZero() {
+		c.lostLeader, c.lostSince = l, since
 	}
-	wait := time.Duration(c.rank(now, false)) * rankStep
+	wait := time.Duration(c.candidateRank(now, false)) * rankDelay
 	if !c.IsRelay(now) {
-		wait += c.Pace() * memberRounds
+		wait += c.GossipInterval() * nonRelayRounds
 	}
-	return now.Sub(c.missedSince) >= wait && now.Sub(c.stored) < outAfter, ended
+	return now.Sub(c.lostSince) >= wait && now.Sub(c.lastStoreResponse) < storeOutageTimeout, ended
 }
 
-// missing tells whether a leader is lost, since when, and whether for good.
-func (c *Cluster) missing(now time.Time, l grant.Leader) (since time.Time, missing, ended bool) {
+// leaderLost reports whether a leader is lost, the moment from which it counts as lost, and
+// whether its incarnation is proven to have ended.
+func (c *Cluster) leaderLost(now time.Time, l grant.Leader) (since time.Time, leaderLost, ended bool) {
 	if l.Daemon == "" {
-		return later(c.since, c.stored), true, true
+		return later(c.startedAt, c.lastStoreResponse), true, true
 	}
 	if l.Daemon == c.self.Name {
 		return now, l.Incarnation != c.self.Incarnation, true
@@ -253,30 +266,30 @@
 	p := c.peers[l.Daemon]
 	switch {
 	case p == nil:
-		return c.knownSince.Add(silentAfter), now.Sub(c.knownSince) > silentAfter, false
+		return c.observedSince.Add(silenceTimeout), now.Sub(c.observedSince) > silenceTimeout, false
 	case p.Incarnation > l.Incarnation:
 		return now, true, true
-	case p.gone:
+	case p.refused:
 		return now, true, false
-	case p.Leaving && c.leads(now, p), c.relieves(now, p):
+	case p.Leaving && c.leaderAlive(now, p), c.shouldReplaceWeaker(now, p):
 		return now, true, false
-	case p.heard.IsZero():
-		return c.knownSince.Add(silentAfter), now.Sub(c.knownSince) > silentAfter, false
+	case p.lastHeard.IsZero():
+		return c.observedSince.Add(silenceTimeout), now.Sub(c.observedSince) > silenceTimeout, false
 	}
-	return p.heard.Add(silentAfter), !c.leads(now, p), false
+	return p.lastHeard.Add(silenceTimeout), !c.leaderAlive(now, p), false
 }
 
-// relieves tells whether this daemon should take the lead from a leader on a much weaker
-// host, although that lives. Whoever starts first takes the first lead. On a weak host, news
-// waits for its processor and its link when many servers change: the daemons of its
-// data centre go on sending to servers that have left.
-func (c *Cluster) relieves(now time.Time, leader *peer) bool {
-	return leader != nil && leader.Strength > 0 && c.self.Strength >= muchStronger*leader.Strength && c.leads(now, leader) && c.IsRelay(now)
+// shouldReplaceWeaker reports whether this daemon should take the lead from a leader that is
+// alive, but on a much weaker host. The daemon that starts first becomes the first leader,
+// whatever its host. When many servers change, updates queue up for a weak host's processor
+// and network link, and the daemons of its data centre keep sending to servers that have left.
+func (c *Cluster) shouldReplaceWeaker(now time.Time, leader *peer) bool {
+	return leader != nil && leader.Strength > 0 && c.self.Strength >= takeoverStrengthRatio*leader.Strength && c.leaderAlive(now, leader) && c.IsRelay(now)
 }
 
-// GaveWay tells whether a former leader is known to have ended, or to know of a
-// newer epoch and so to have stopped granting.
-func (c *Cluster) GaveWay(l grant.Leader, epoch uint64) bool {
+// HasSteppedDown reports whether a former leader is known to have ended, or to know the given
+// epoch, so that it has stopped giving grants.
+func (c *Cluster) HasSteppedDown(l grant.Leader, epoch uint64) bool {
 	if l.Daemon == "" || l.Daemon == c.self.Name {
 		return true
 	}
@@ -284,54 +297,59 @@
 	return p != nil && (p.Incarnation > l.Incarnation || p.Incarnation == l.Incarnation && p.Epoch >= epoch)
 }
 
-func (c *Cluster) lives(now time.Time, p *peer) bool {
-	after := silentAfter
+// isAlive reports whether there was contact with a daemon within the timeout that applies to
+// its data centre.
+func (c *Cluster) isAlive(now time.Time, p *peer) bool {
+	timeout := silenceTimeout
 	if p.DataCentre != c.self.DataCentre {
-		after = farSilentAfter
+		timeout = remoteSilenceTimeout
 	}
-	return !p.gone && !p.heard.IsZero() && now.Sub(p.heard) < after
+	return !p.refused && !p.lastHeard.IsZero() && now.Sub(p.lastHeard) < timeout
 }
 
-// leads tells whether a leader was heard lately; leaders send gossip twice a second.
-func (c *Cluster) leads(now time.Time, p *peer) bool {
-	return !p.gone && now.Sub(p.heard) < silentAfter
+// leaderAlive reports whether there was contact with a leader within silenceTimeout, whatever
+// its data centre: the relays of all data centres gossip with the leader twice a second.
+func (c *Cluster) leaderAlive(now time.Time, p *peer) bool {
+	return !p.refused && now.Sub(p.lastHeard) < silenceTimeout
 }
 
-// rank is how many come before this daemon among the living that could do the same.
-func (c *Cluster) rank(now time.Time, near bool) int {
+// candidateRank is the number of live daemons that rank before this one as leader or reader,
+// leaving out those that have had no response from the store lately. With localOnly it counts
+// those of the own data centre only.
+func (c *Cluster) candidateRank(now time.Time, localOnly bool) int {
 	n := 0
 	for _, p := range c.peers {
-		if near && p.DataCentre != c.self.DataCentre || !c.lives(now, p) || p.Leaving {
+		if localOnly && p.DataCentre != c.self.DataCentre || !c.isAlive(now, p) || p.Leaving {
 			continue
 		}
-		if now.Sub(p.Stored) > silentAfter && now.Sub(c.since) > silentAfter {
+		if now.Sub(p.LastStoreResponse) > silenceTimeout && now.Sub(c.startedAt) > silenceTimeout {
 			continue
 		}
-		if before(p.Member, c.self) < 0 {
+		if comparePriority(p.Member, c.self) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Turn is how many living daemons of the data centre come before this one, whether the
-// platform answers them or not.
-func (c *Cluster) Turn(now time.Time) int {
+// LocalRank is the number of live daemons of the data centre that rank before this one, whether
+// the store answers them or not.
+func (c *Cluster) LocalRank(now time.Time) int {
 	n := 0
 	for _, p := range c.peers {
-		if p.DataCentre == c.self.DataCentre && c.lives(now, p) && !p.Leaving && before(p.Member, c.self) < 0 {
+		if p.DataCentre == c.self.DataCentre && c.isAlive(now, p) && !p.Leaving && comparePriority(p.Member, c.self) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// RetryPause is how long after a call to the platform that failed a daemon should try
-// again, by its turn and the pause that a daemon alone would make. When the platform is
-// away the news of all daemons grows old, and all of them would ask for it again and
-// again; the first ones are enough to find out that it is back.
-func RetryPause(turn int, pause time.Duration) time.Duration {
-	return pause + pause*time.Duration(turn)/2
+// RetryDelay is how long a daemon of the given rank waits after a failed call to the store
+// before it tries again; pause is the delay of the daemon that ranks first. While the store is
+// down, the copies of all daemons become stale and all of them would keep retrying, although
+// a few are enough to detect that it is back.
+func RetryDelay(rank int, pause time.Duration) time.Duration {
+	return pause + pause*time.Duration(rank)/2
 }
 
 func later(a, b time.Time) time.Time {
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -14,170 +14,172 @@
 
 func at(seconds float64) time.Time { return t0.Add(time.Duration(seconds * float64(time.Second))) }
 
-func member(name, place string, life uint64) Member {
-	return Member{Name: name, Address: name + ":1", DataCentre: place, Incarnation: life}
+func newMember(name, dataCentre string, incarnation uint64) Member {
+	return Member{Name: name, Address: name + ":1", DataCentre: dataCentre, Incarnation: incarnation}
 }
 
-// heard makes a cluster of daemon "b" that has just heard of "a" and "c".
-func heard() *Cluster {
-	c := New(member("b", "x", 1), t0)
-	c.Stored(at(9.9))
-	c.Heard(at(10), member("a", "x", 1), Status{Stored: at(9.9)})
-	c.Heard(at(10), member("c", "y", 1), Status{Stored: at(9.9)})
+// newTestCluster returns the cluster of daemon "b", which has just got gossip from "a" in its own data
+// centre and "c" in another one.
+func newTestCluster() *Cluster {
+	c := New(newMember("b", "x", 1), t0)
+	c.RecordStoreResponse(at(9.9))
+	c.RecordGossip(at(10), newMember("a", "x", 1), Status{LastStoreResponse: at(9.9)})
+	c.RecordGossip(at(10), newMember("c", "y", 1), Status{LastStoreResponse: at(9.9)})
 	return c
 }
 
-func TestMayLead(t *testing.T) {
-	lead := func(c *Cluster, now time.Time, l grant.Leader) bool {
-		c.Stored(now.Add(-100 * time.Millisecond))
-		try, _ := c.MayLead(now, l)
+func TestShouldTakeLead(t *testing.T) {
+	triesToLead := func(c *Cluster, now time.Time, l grant.Leader) bool {
+		c.RecordStoreResponse(now.Add(-100 * time.Millisecond))
+		try, _ := c.ShouldTakeLead(now, l)
 		return try
 	}
-	Convey("A leader whose word is fresh is left alone, a silent one replaced", t, func() {
-		c := heard()
+	Convey("A leader with recent gossip keeps the lead, a silent one is replaced", t, func() {
+		c := newTestCluster()
 		l := grant.Leader{Daemon: "c", Incarnation: 1}
-		So(lead(c, at(10.5), l), ShouldBeFalse)
-		So(lead(c, at(11.6), l), ShouldBeTrue)
+		So(triesToLead(c, at(10.5), l), ShouldBeFalse)
+		So(triesToLead(c, at(11.6), l), ShouldBeTrue)
 	})
-	Convey("Daemons take turns by name, the first living one at once", t, func() {
-		c := heard()
+	Convey("Candidates wait in the order of their names; the first live one does not wait", t, func() {
+		c := newTestCluster()
 		l := grant.Leader{Daemon: "c", Incarnation: 1}
-		c.Refused("c:1")
-		So(lead(c, at(10.1), l), ShouldBeFalse) // "a" lives and comes first
-		So(lead(c, at(10.3), l), ShouldBeTrue)
+		c.RecordRefused("c:1")
+		So(triesToLead(c, at(10.1), l), ShouldBeFalse) // "a" is alive and ranks first
+		So(triesToLead(c, at(10.3), l), ShouldBeTrue)
 	})
-	Convey("A leader that has just come up, and was not heard of yet, is not missed at once", t, func() {
-		c := New(member("b", "x", 1), t0)
-		So(lead(c, at(60), grant.Leader{Daemon: "new", Incarnation: 1}), ShouldBeFalse)
-		So(lead(c, at(61.6), grant.Leader{Daemon: "new", Incarnation: 1}), ShouldBeTrue)
+	Convey("A new leader that has sent no gossip yet is given the silence timeout", t, func() {
+		c := New(newMember("b", "x", 1), t0)
+		So(triesToLead(c, at(60), grant.Leader{Daemon: "new", Incarnation: 1}), ShouldBeFalse)
+		So(triesToLead(c, at(61.6), grant.Leader{Daemon: "new", Incarnation: 1}), ShouldBeTrue)
 	})
-	Convey("A restarted leader's new life proves the end of the old", t, func() {
-		c := heard()
-		c.Heard(at(10.2), member("c", "y", 2), Status{})
-		_, ended := c.MayLead(at(10.2), grant.Leader{Daemon: "c", Incarnation: 1})
+	Convey("A newer incarnation of the leader proves that the old one has ended", t, func() {
+		c := newTestCluster()
+		c.RecordGossip(at(10.2), newMember("c", "y", 2), Status{})
+		_, ended := c.ShouldTakeLead(at(10.2), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(ended, ShouldBeTrue)
 	})
-	Convey("A daemon that the platform does not answer never tries", t, func() {
-		c := heard()
-		try, _ := c.MayLead(at(20), grant.Leader{Daemon: "c", Incarnation: 1})
+	Convey("A daemon that the store does not answer never tries", t, func() {
+		c := newTestCluster()
+		try, _ := c.ShouldTakeLead(at(20), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(try, ShouldBeFalse)
 	})
 }
 
-// Guards against a refused connection being taken for the end of a leader.
-func TestRefusalProvesNothing(t *testing.T) {
-	Convey("A refused leader is missed, but not known to have stopped", t, func() {
-		c := heard()
+// Guards against treating a refused connection as proof that a leader has ended. A network
+// partition can refuse connections while the leader runs and is reached by others.
+func TestRefusedConnectionDoesNotProveEnd(t *testing.T) {
+	Convey("A leader that refuses connections is lost, but not known to have stopped", t, func() {
+		c := newTestCluster()
 		l := grant.Leader{Daemon: "c", Incarnation: 1}
-		c.Refused("c:1")
-		_, ended := c.MayLead(at(10.2), l)
+		c.RecordRefused("c:1")
+		_, ended := c.ShouldTakeLead(at(10.2), l)
 		So(ended, ShouldBeFalse)
-		So(c.GaveWay(l, 5), ShouldBeFalse)
-		c.Heard(at(12), member("c", "y", 1), Status{Epoch: 5})
-		So(c.GaveWay(l, 5), ShouldBeTrue)
+		So(c.HasSteppedDown(l, 5), ShouldBeFalse)
+		c.RecordGossip(at(12), newMember("c", "y", 1), Status{Epoch: 5})
+		So(c.HasSteppedDown(l, 5), ShouldBeTrue)
 	})
 }
 
-// Guards against a leader that leads on while the platform refuses it alone.
-func TestGivesWay(t *testing.T) {
-	Convey("A leader gives way when the platform answers others only", t, func() {
-		c := heard()
-		So(c.GivesWay(at(10)), ShouldBeFalse)
-		c.Heard(at(11.4), member("a", "x", 1), Status{Stored: at(11.3)})
-		So(c.GivesWay(at(11.5)), ShouldBeTrue)
+// Guards against a leader that keeps the lead while it is the only daemon that the store refuses.
+func TestShouldStepDown(t *testing.T) {
+	Convey("A leader steps down when the store answers other daemons but not it", t, func() {
+		c := newTestCluster()
+		So(c.ShouldStepDown(at(10)), ShouldBeFalse)
+		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(11.3)})
+		So(c.ShouldStepDown(at(11.5)), ShouldBeTrue)
 	})
-	Convey("It stays when the platform answers nobody", t, func() {
-		c := heard()
-		c.Heard(at(11.4), member("a", "x", 1), Status{Stored: at(9.9)})
-		So(c.GivesWay(at(11.5)), ShouldBeFalse)
+	Convey("It keeps the lead when the store answers nobody", t, func() {
+		c := newTestCluster()
+		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(9.9)})
+		So(c.ShouldStepDown(at(11.5)), ShouldBeFalse)
 	})
 }
 
-func TestReads(t *testing.T) {
-	Convey("Only the leader reads while its news is fresh; old news is read by one of each data centre", t, func() {
-		c := heard()
-		So(c.Reads(at(10), at(9.5), false), ShouldBeFalse)
-		So(c.Reads(at(10), at(9.5), true), ShouldBeTrue)
-		So(c.Reads(at(11), at(9.35), false), ShouldBeFalse) // "a" comes first here
-		So(c.Reads(at(11), at(9.2), false), ShouldBeTrue)
+func TestShouldRead(t *testing.T) {
+	Convey("Only the leader reads while the copies are fresh; stale ones are refreshed by one daemon of each data centre", t, func() {
+		c := newTestCluster()
+		So(c.ShouldRead(at(10), at(9.5), false), ShouldBeFalse)
+		So(c.ShouldRead(at(10), at(9.5), true), ShouldBeTrue)
+		So(c.ShouldRead(at(11), at(9.35), false), ShouldBeFalse) // "a" ranks first in this data centre
+		So(c.ShouldRead(at(11), at(9.2), false), ShouldBeTrue)
 	})
-	Convey("A delayed word of an ended life changes nothing", t, func() {
-		c := heard()
-		c.Heard(at(10.1), member("a", "x", 2), Status{Epoch: 4})
-		c.Heard(at(10.2), member("a", "x", 1), Status{Leaving: true})
+	Convey("Delayed gossip of an earlier incarnation changes nothing", t, func() {
+		c := newTestCluster()
+		c.RecordGossip(at(10.1), newMember("a", "x", 2), Status{Epoch: 4})
+		c.RecordGossip(at(10.2), newMember("a", "x", 1), Status{Leaving: true})
 		So(c.Count(), ShouldEqual, 3)
 		So(c.Index(), ShouldEqual, 1)
 		So(c.peers["a"].Leaving, ShouldBeFalse)
 	})
 }
 
-// Guards against hundreds of daemons that call the platform again and again while it is away.
-func TestFewDaemonsRetryThePlatform(t *testing.T) {
+// Guards against hundreds of daemons retrying the store throughout an outage.
+func TestFewDaemonsRetryStore(t *testing.T) {
 	const outage, pause, daemons = 8 * time.Second, 600 * time.Millisecond, 32
-	Convey("In an outage a data centre makes a few times the calls of one daemon", t, func() {
+	Convey("During an outage a data centre makes only a few times the calls of one daemon", t, func() {
 		calls := 0
 		for i := range daemons {
-			c := New(member(fmt.Sprintf("d%02d", i), "x", 1), t0)
+			c := New(newMember(fmt.Sprintf("d%02d", i), "x", 1), t0)
 			for j := range daemons {
-				c.Heard(at(9), member(fmt.Sprintf("d%02d", j), "x", 1), Status{})
+				c.RecordGossip(at(9), newMember(fmt.Sprintf("d%02d", j), "x", 1), Status{})
 			}
-			So(c.Turn(at(9.1)), ShouldEqual, i)
-			calls += int(outage/RetryPause(c.Turn(at(9.1)), pause)) + 1
+			So(c.LocalRank(at(9.1)), ShouldEqual, i)
+			calls += int(outage/RetryDelay(c.LocalRank(at(9.1)), pause)) + 1
 		}
 		alone := int(outage/pause) + 1
 		So(calls, ShouldBeLessThan, daemons*alone/3)
 	})
-	Convey("When those before it are lost a daemon comes first", t, func() {
-		c := New(member("d2", "x", 1), t0)
-		c.Heard(at(9), member("d1", "x", 1), Status{})
-		c.Refused("d1:1")
-		So(RetryPause(c.Turn(at(9.1)), pause), ShouldEqual, pause)
+	Convey("A daemon ranks first when those before it are lost", t, func() {
+		c := New(newMember("d2", "x", 1), t0)
+		c.RecordGossip(at(9), newMember("d1", "x", 1), Status{})
+		c.RecordRefused("d1:1")
+		So(RetryDelay(c.LocalRank(at(9.1)), pause), ShouldEqual, pause)
 	})
 }
 
-// Guards against a leader on a weak host, whose reading of the platform stands still while servers leave.
-func TestStrongHostsLead(t *testing.T) {
-	strong := func(name, place string, strength float64) Member {
-		m := member(name, place, 1)
+// Guards against a leader on a weak host: its reads of the store stall while servers leave.
+func TestStrongHostTakesLead(t *testing.T) {
+	memberOfStrength := func(name, place string, strength float64) Member {
+		m := newMember(name, place, 1)
 		m.Strength = strength
 		return m
 	}
-	weakLeads := func(self Member, stored time.Time) *Cluster {
+	clusterWithWeakLeader := func(self Member, stored time.Time) *Cluster {
 		c := New(self, t0)
-		c.Stored(stored)
-		c.Heard(at(10), strong("weak", "y", 0.2), Status{Stored: at(10)})
+		c.RecordStoreResponse(stored)
+		c.RecordGossip(at(10), memberOfStrength("weak", "y", 0.2), Status{LastStoreResponse: at(10)})
 		return c
 	}
 	l := grant.Leader{Daemon: "weak", Incarnation: 1}
-	leads := func(c *Cluster, now time.Time) bool {
-		try, ended := c.MayLead(now, l)
+	triesToLead := func(c *Cluster, now time.Time) bool {
+		try, ended := c.ShouldTakeLead(now, l)
 		So(ended, ShouldBeFalse)
 		return try
 	}
-	Convey("A daemon of a much stronger host takes over while the platform answers it", t, func() {
-		c := weakLeads(strong("b", "x", 0.8), at(9.9))
-		So(leads(c, at(10.1)), ShouldBeTrue)
-		So(leads(weakLeads(strong("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
-		Convey("and reads to find that out", func() {
-			So(c.Reads(at(10.1), at(10), false), ShouldBeTrue)
+	Convey("A daemon on a much stronger host takes over if the store answers it", t, func() {
+		c := clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(9.9))
+		So(triesToLead(c, at(10.1)), ShouldBeTrue)
+		So(triesToLead(clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
+		Convey("and reads the store to find that out", func() {
+			So(c.ShouldRead(at(10.1), at(10), false), ShouldBeTrue)
 		})
-		Convey("but not from a leader that was not heard lately, before that counts as lost", func() {
-			So(c.Reads(at(10).Add(silentAfter), at(10).Add(silentAfter), false), ShouldBeFalse)
+		Convey("but does not read once the leader has been silent for the timeout", func() {
+			So(c.ShouldRead(at(10).Add(silenceTimeout), at(10).Add(silenceTimeout), false), ShouldBeFalse)
 		})
 	})
-	Convey("One of a host that is hardly stronger, or unknown, does not", t, func() {
+	Convey("A daemon on a host that is little stronger, or of unknown strength, does not", t, func() {
 		for _, strength := range []float64{0, 0.2, 0.3} {
-			c := weakLeads(strong("b", "x", strength), at(9.9))
-			So(leads(c, at(10.1)), ShouldBeFalse)
-			So(c.Reads(at(10.1), at(10), false), ShouldBeFalse)
+			c := clusterWithWeakLeader(memberOfStrength("b", "x", strength), at(9.9))
+			So(triesToLead(c, at(10.1)), ShouldBeFalse)
+			So(c.ShouldRead(at(10.1), at(10), false), ShouldBeFalse)
 		}
 	})
-	Convey("Of several the first relays do", t, func() {
-		c := weakLeads(strong("c", "x", 0.8), at(9.9))
-		c.Heard(at(10), strong("a", "x", 0.8), Status{Stored: at(10)})
-		So(leads(c, at(10.1)), ShouldBeFalse)
-		So(leads(c, at(10.1).Add(rankStep)), ShouldBeTrue)
-		c.Heard(at(10.1), strong("b", "x", 0.8), Status{Stored: at(10)})
-		So(c.Reads(at(10.2), at(10.2), false), ShouldBeFalse)
+	Convey("Of several such daemons only the relays do, in the order of their rank", t, func() {
+		c := clusterWithWeakLeader(memberOfStrength("c", "x", 0.8), at(9.9))
+		c.RecordGossip(at(10), memberOfStrength("a", "x", 0.8), Status{LastStoreResponse: at(10)})
+		So(triesToLead(c, at(10.1)), ShouldBeFalse)
+		So(triesToLead(c, at(10.1).Add(rankDelay)), ShouldBeTrue)
+		c.RecordGossip(at(10.1), memberOfStrength("b", "x", 0.8), Status{LastStoreResponse: at(10)})
+		So(c.ShouldRead(at(10.2), at(10.2), false), ShouldBeFalse)
 	})
 }
--- a/core/process/member/reader.go
+++ b/core/process/member/reader.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// failedFor is how long a daemon that the platform did not answer is passed over as the
-// spare reader.
-const failedFor = 4 * time.Second
+// storeFailureBackoff is how long after a failed call to the store a daemon is not chosen as
+// the standby reader.
+const storeFailureBackoff = 4 * time.Second
 
-// StoreFailed notes that the platform did not answer this daemon.
-func (c *Cluster) StoreFailed(now time.Time) { c.failed = now }
+// RecordStoreFailure records that the store did not answer this daemon.
+func (c *Cluster) RecordStoreFailure(now time.Time) { c.lastStoreFailure = now }
 
-// FailedAt is when the platform last did not answer this daemon; zero if it did since.
-func (c *Cluster) FailedAt() time.Time { return c.failed }
+// LastStoreFailure is when the store last failed to answer this daemon; zero if it has
+// answered since.
+func (c *Cluster) LastStoreFailure() time.Time { return c.lastStoreFailure }
 
-// Reads tells whether this daemon should read the platform for the others: the
-// news it has is old, and no other daemon of its data centre would come first.
-// current is when the news was last known to be in force. Daemons that are not
-// relays get their news a round of gossip later than relays, and wait for that. One
-// that should lead in place of a weaker one reads as well, to find out whether it can.
-func (c *Cluster) Reads(now, current time.Time, leading bool) bool {
-	wait := staleAfter + time.Duration(c.rank(now, true))*rankStep
+// ShouldRead reports whether this daemon should read the store on behalf of the others. A
+// daemon that is not the leader reads if its copy of the store, which was last known to be
+// current at currentAt, has been stale for so long that any daemon of its data centre that
+// ranks before it would have refreshed it. Daemons that are not relays wait longer, since
+// updates reach them a round of gossip later. A daemon that should replace a leader on a
+// weaker host reads as well, to find out whether the store answers it.
+func (c *Cluster) ShouldRead(now, currentAt time.Time, leading bool) bool {
+	wait := staleAfter + time.Duration(c.candidateRank(now, true))*rankDelay
 	if !c.IsRelay(now) {
-		wait += c.Pace() * memberRounds
+		wait += c.GossipInterval() * nonRelayRounds
 	}
-	return leading || now.Sub(current) > wait || c.relieves(now, c.peers[c.known.Daemon])
+	return leading || now.Sub(currentAt) > wait || c.shouldReplaceWeaker(now, c.peers[c.observedLeader.Daemon])
 }
 
-// IsSpare tells whether this daemon reads beside the leader. The platform may refuse the
-// leader alone, or the leader's host may stand still: by the time that the news is old enough
-// for others to look, servers that left get requests for seconds. The spare is the first
-// relay, of another data centre if there is one, that the platform has not failed lately.
-func (c *Cluster) IsSpare(now time.Time, leader string) bool {
-	if leader == "" || leader == c.self.Name || c.hasFailed(now, c.failed) || !c.IsRelay(now) {
+// IsStandbyReader reports whether this daemon reads the store in addition to the leader. The
+// store may refuse only the leader, or the leader's host may stall. By the time the copies of
+// the other daemons are stale enough for these to read, servers that left have been sent
+// requests for seconds. The standby is the first relay that had no failed call to the store
+// lately, preferably one in another data centre than the leader.
+func (c *Cluster) IsStandbyReader(now time.Time, leader string) bool {
+	if leader == "" || leader == c.self.Name || c.storeFailedRecently(now, c.lastStoreFailure) || !c.IsRelay(now) {
 		return false
 	}
-	at := c.dataCentreOf(leader)
+	leaderDataCentre := c.dataCentreOf(leader)
 	for _, dc := range append(c.dataCentres(), c.self.DataCentre) {
 		for _, m := range c.relays(now, dc) {
-			if m.Name != leader && comesFirst(at, m, c.self) && c.mayRead(now, m.Name) {
+			if m.Name != leader && isBetterStandby(leaderDataCentre, m, c.self) && c.canRead(now, m.Name) {
 				return false
 			}
 		}
@@ -44,23 +47,23 @@
 	return true
 }
 
-// comesFirst tells whether a relay is a better spare than another one, beside a leader of a
-// data centre.
-func comesFirst(leaderAt string, m, than Member) bool {
-	if near, thanNear := m.DataCentre == leaderAt, than.DataCentre == leaderAt; near != thanNear {
-		return thanNear
+// isBetterStandby reports whether relay a is a better standby reader than relay b for a leader
+// in the given data centre.
+func isBetterStandby(leaderDataCentre string, a, b Member) bool {
+	if aNearLeader, bNearLeader := a.DataCentre == leaderDataCentre, b.DataCentre == leaderDataCentre; aNearLeader != bNearLeader {
+		return bNearLeader
 	}
-	return before(m, than) < 0
+	return comparePriority(a, b) < 0
 }
 
-// mayRead tells whether another daemon lives and the platform has not failed it lately.
-func (c *Cluster) mayRead(now time.Time, name string) bool {
+// canRead reports whether another daemon is alive and had no failed call to the store lately.
+func (c *Cluster) canRead(now time.Time, name string) bool {
 	p := c.peers[name]
-	return p != nil && c.lives(now, p) && !p.Leaving && !c.hasFailed(now, p.Failed)
+	return p != nil && c.isAlive(now, p) && !p.Leaving && !c.storeFailedRecently(now, p.LastStoreFailure)
 }
 
-func (c *Cluster) hasFailed(now, at time.Time) bool {
-	return !at.IsZero() && now.Sub(at) < failedFor
+func (c *Cluster) storeFailedRecently(now, failedAt time.Time) bool {
+	return !failedAt.IsZero() && now.Sub(failedAt) < storeFailureBackoff
 }
 
 func (c *Cluster) dataCentreOf(name string) string {
--- a/core/process/member/reader_test.go
+++ b/core/process/member/reader_test.go
@@ -6,63 +6,65 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// five makes a cluster of five daemons that know each other: "a" and "b" in "x", "c" and "d"
-// in "y", "e" in "z".
-func five(self string) *Cluster {
-	all := map[string]string{"a": "x", "b": "x", "c": "y", "d": "y", "e": "z"}
-	c := New(member(self, all[self], 1), t0)
-	for name, place := range all {
-		c.Heard(at(10), member(name, place, 1), Status{})
+// newFiveDaemonCluster returns the cluster of one of five daemons that know each other: "a" and "b" in data
+// centre "x", "c" and "d" in "y", "e" in "z".
+func newFiveDaemonCluster(self string) *Cluster {
+	dataCentres := map[string]string{"a": "x", "b": "x", "c": "y", "d": "y", "e": "z"}
+	c := New(newMember(self, dataCentres[self], 1), t0)
+	for name, dataCentre := range dataCentres {
+		c.RecordGossip(at(10), newMember(name, dataCentre, 1), Status{})
 	}
 	return c
 }
 
-// spares lists who takes itself for the spare beside a leader, if all learn what one does.
-func spares(leader string, learn func(*Cluster)) []string {
+// standbyReaders returns the daemons that consider themselves the standby reader for a leader after
+// learn has been applied to the cluster of each.
+func standbyReaders(leader string, learn func(*Cluster)) []string {
 	var out []string
 	for _, self := range []string{"a", "b", "c", "d", "e"} {
-		c := five(self)
+		c := newFiveDaemonCluster(self)
 		learn(c)
-		if c.IsSpare(at(10.1), leader) {
+		if c.IsStandbyReader(at(10.1), leader) {
 			out = append(out, self)
 		}
 	}
 	return out
 }
 
-// Guards against servers that get requests for seconds after they left, since the platform refuses the only reader.
-func TestSpareReader(t *testing.T) {
-	nothing := func(*Cluster) {}
-	fails := func(names ...string) func(*Cluster) {
+// Guards against requests being sent to servers for seconds after they left, because the store
+// refuses the only daemon that reads it.
+func TestStandbyReader(t *testing.T) {
+	noFailure := func(*Cluster) {}
+	storeFails := func(names ...string) func(*Cluster) {
 		return func(c *Cluster) {
 			for _, name := range names {
 				if name == c.Self().Name {
-					c.StoreFailed(at(10))
+					c.RecordStoreFailure(at(10))
 					continue
 				}
 				p := *c.peers[name]
-				c.Heard(at(10), p.Member, Status{Failed: at(10)})
+				c.RecordGossip(at(10), p.Member, Status{LastStoreFailure: at(10)})
 			}
 		}
 	}
-	Convey("One daemon reads beside the leader, of another data centre", t, func() {
-		So(spares("a", nothing), ShouldResemble, []string{"c"})
-		So(spares("c", nothing), ShouldResemble, []string{"a"})
-		So(spares("", nothing), ShouldBeEmpty)
+	Convey("One daemon of another data centre reads in addition to the leader", t, func() {
+		So(standbyReaders("a", noFailure), ShouldResemble, []string{"c"})
+		So(standbyReaders("c", noFailure), ShouldResemble, []string{"a"})
+		So(standbyReaders("", noFailure), ShouldBeEmpty)
 	})
-	Convey("The next takes its place when the platform fails it, or it is lost", t, func() {
-		So(spares("a", fails("c")), ShouldResemble, []string{"d"})
-		So(spares("a", fails("c", "d")), ShouldResemble, []string{"e"})
-		So(spares("a", func(c *Cluster) { c.Refused("c:1") }), ShouldResemble, []string{"c", "d"}) // "c" itself cannot know
-		So(spares("a", fails("c", "d", "e")), ShouldResemble, []string{"b"})
+	Convey("The next one replaces it when the store fails it or it is lost", t, func() {
+		So(standbyReaders("a", storeFails("c")), ShouldResemble, []string{"d"})
+		So(standbyReaders("a", storeFails("c", "d")), ShouldResemble, []string{"e"})
+		So(standbyReaders("a", func(c *Cluster) { c.RecordRefused("c:1") }), ShouldResemble, []string{"c", "d"}) // "c" itself cannot know
+		So(standbyReaders("a", storeFails("c", "d", "e")), ShouldResemble, []string{"b"})
 	})
-	Convey("It may be the spare again once the platform has answered it, or after a while", t, func() {
-		c := five("c")
-		c.StoreFailed(at(10))
-		So(c.IsSpare(at(10.1), "a"), ShouldBeFalse)
-		c.Stored(at(10.2))
-		So(c.IsSpare(at(10.3), "a"), ShouldBeTrue)
-		c.StoreFailed(at(10.4))
-		So(c.IsSpare(at(10.4).Add(failedFor), "a"), ShouldBeTrue)
+	Convey("It may be the standby again once the store has answered it, or after the backoff", t, func() {
+		c := newFiveDaemonCluster("c")
+		c.RecordStoreFailure(at(10))
+		So(c.IsStandbyReader(at(10.1), "a"), ShouldBeFalse)
+		c.RecordStoreResponse(at(10.2))
+		So(c.IsStandbyReader(at(10.3), "a"), ShouldBeTrue)
+		c.RecordStoreFailure(at(10.4))
+		So(c.IsStandbyReader(at(10.4).Add(storeFailureBackoff), "a"), ShouldBeTrue)
 	})
 }
--- a/core/process/member/relay.go
+++ b/core/process/member/relay.go
@@ -8,51 +8,51 @@
 
 const (
 	// relaysPerDataCentre is how many daemons of a data centre relay gossip for it. Every other
-	// one sends them what it knows and asks them for the rest, so that a data
-	// centre of n daemons has 2n calls in a round in place of n*n. Two, so that the
-	// loss of one is not noticed.
+	// daemon sends them what it knows and gets the rest from them, so that a data centre of n
+	// daemons makes 2n calls per round instead of n*n. There are two, so that the loss of
+	// one does not interrupt gossip.
 	relaysPerDataCentre = 2
-	// paceLeast is the shortest pause between two rounds of gossip, and paceEach
-	// what each daemon of the data centre adds to it: a relay hears about 40 messages a
-	// second however many there are.
-	paceLeast = 250 * time.Millisecond
-	paceEach  = 25 * time.Millisecond
-	// memberRounds is how many rounds later than relays the others learn of changes
-	// at the latest: their own round, and one that was lost.
-	memberRounds = 2
-	// relaysLast is how long relays are not looked for anew while no peer changes: one that
-	// missed a call is a candidate again that much later.
-	relaysLast = 200 * time.Millisecond
-	// missedFor is how long a daemon that did not answer a call counts as lost
-	// before it may be called as a relay again.
-	missedFor = 5 * time.Second
+	// minGossipInterval is the shortest interval between two rounds of gossip. Each daemon of
+	// the data centre accounts for gossipIntervalPerDaemon of it, so that a relay receives
+	// at most about 40 messages a second however many daemons there are.
+	minGossipInterval       = 250 * time.Millisecond
+	gossipIntervalPerDaemon = 25 * time.Millisecond
+	// nonRelayRounds is how many rounds of gossip later than relays the other daemons learn of
+	// changes at the latest: one for their own round, and one in case a message is lost.
+	nonRelayRounds = 2
+	// relayCacheTTL is how long the chosen relays are cached while no peer changes. It also
+	// delays the moment at which a daemon becomes a candidate again after unansweredBackoff.
+	relayCacheTTL = 200 * time.Millisecond
+	// unansweredBackoff is how long a daemon that did not answer a call counts as unreachable
+	// before it may be chosen as a relay again.
+	unansweredBackoff = 5 * time.Second
 )
 
-// Pace is the pause between two rounds of gossip within the data centre.
-func (c *Cluster) Pace() time.Duration {
-	if c.near == 0 {
-		c.near = 1
+// GossipInterval is the time between two rounds of gossip within the data centre.
+func (c *Cluster) GossipInterval() time.Duration {
+	if c.localCount == 0 {
+		c.localCount = 1
 		for _, p := range c.peers {
 			if p.DataCentre == c.self.DataCentre {
-				c.near++
+				c.localCount++
 			}
 		}
 	}
-	return max(paceLeast, time.Duration(c.near)*paceEach)
+	return max(minGossipInterval, time.Duration(c.localCount)*gossipIntervalPerDaemon)
 }
 
-// IsRelay tells whether this daemon relays for its data centre.
+// IsRelay reports whether this daemon is a relay of its data centre.
 func (c *Cluster) IsRelay(now time.Time) bool {
 	return slices.ContainsFunc(c.relays(now, c.self.DataCentre), func(m Member) bool { return m.Name == c.self.Name })
 }
 
-// Relays lists the other daemons that relay for this one's data centre.
-func (c *Cluster) Relays(now time.Time) []string {
+// LocalRelays returns the addresses of the other relays in this daemon's data centre.
+func (c *Cluster) LocalRelays(now time.Time) []string {
 	return c.addresses(c.relays(now, c.self.DataCentre))
 }
 
-// FarRelays lists the daemons that relay for other data centres.
-func (c *Cluster) FarRelays(now time.Time) []string {
+// RemoteRelays returns the addresses of the relays in other data centres.
+func (c *Cluster) RemoteRelays(now time.Time) []string {
 	var out []Member
 	for _, dc := range c.dataCentres() {
 		if dc != c.self.DataCentre {
@@ -62,20 +62,21 @@
 	return c.addresses(out)
 }
 
-// LaterRelays lists those of them that come after this daemon by name: each pair
-// talks once, since an answer says as much as a question.
-func (c *Cluster) LaterRelays(now time.Time) []string {
-	later := map[string]bool{}
+// RemoteRelaysAfterSelf returns the addresses of the relays in other data centres whose names
+// sort after this daemon's. Only one of each pair needs to call the other, since the reply
+// carries the same information as the call.
+func (c *Cluster) RemoteRelaysAfterSelf(now time.Time) []string {
+	afterSelf := map[string]bool{}
 	for name, p := range c.peers {
-		later[p.Address] = name > c.self.Name
+		afterSelf[p.Address] = name > c.self.Name
 	}
-	return slices.DeleteFunc(c.FarRelays(now), func(address string) bool { return !later[address] })
+	return slices.DeleteFunc(c.RemoteRelays(now), func(address string) bool { return !afterSelf[address] })
 }
 
-// Near lists all other daemons of the data centre, the lost ones too, so that
-// they are found again after a cut.
-func (c *Cluster) Near(now time.Time) []string {
-	c.forget(now)
+// LocalPeers returns the addresses of all other daemons in the data centre, including lost
+// ones, so that they are found again after a network partition.
+func (c *Cluster) LocalPeers(now time.Time) []string {
+	c.expirePeers(now)
 	var out []Member
 	for _, p := range c.peers {
 		if p.DataCentre == c.self.DataCentre {
@@ -85,9 +86,9 @@
 	return c.addresses(out)
 }
 
-// All lists all other daemons.
-func (c *Cluster) All(now time.Time) []string {
-	c.forget(now)
+// AllPeers returns the addresses of all other daemons.
+func (c *Cluster) AllPeers(now time.Time) []string {
+	c.expirePeers(now)
 	var out []Member
 	for _, p := range c.peers {
 		out = append(out, p.Member)
@@ -95,62 +96,64 @@
 	return c.addresses(out)
 }
 
-// relays are the strongest daemons of a data centre that are not known to be
-// lost, by name among equals. Strong hosts bear the messages of the others best.
+// relays returns the relays of a data centre: its daemons on the strongest hosts that are not
+// known to be unreachable, by name among equals. Strong hosts cope best with the messages of
+// the other daemons.
 func (c *Cluster) relays(now time.Time, dc string) []Member {
-	if c.relaysAt == nil || now.Sub(c.relaysTime) >= relaysLast {
-		c.relaysAt, c.relaysTime = map[string][]Member{}, now
+	if c.relaysByDataCentre == nil || now.Sub(c.relaysComputedAt) >= relayCacheTTL {
+		c.relaysByDataCentre, c.relaysComputedAt = map[string][]Member{}, now
 	}
-	if have, ok := c.relaysAt[dc]; ok {
-		return have
+	if cached, ok := c.relaysByDataCentre[dc]; ok {
+		return cached
 	}
-	c.relaysAt[dc] = c.findRelays(now, dc)
-	return c.relaysAt[dc]
+	c.relaysByDataCentre[dc] = c.findRelays(now, dc)
+	return c.relaysByDataCentre[dc]
 }
 
 func (c *Cluster) findRelays(now time.Time, dc string) []Member {
-	var all []Member
+	var candidates []Member
 	if dc == c.self.DataCentre {
-		all = append(all, c.self)
+		candidates = append(candidates, c.self)
 	}
 	for _, p := range c.peers {
-		if p.DataCentre == dc && !c.isLost(now, p) {
-			all = append(all, p.Member)
+		if p.DataCentre == dc && !c.isUnreachable(now, p) {
+			candidates = append(candidates, p.Member)
 		}
 	}
-	slices.SortFunc(all, before)
-	return all[:min(relaysPerDataCentre, len(all))]
+	slices.SortFunc(candidates, comparePriority)
+	return candidates[:min(relaysPerDataCentre, len(candidates))]
 }
 
-// Living lists the daemons of each data centre that are not known to be lost, this one
-// included, in no order.
-func (c *Cluster) Living(now time.Time) map[string][]string {
+// ReachableAddresses returns, by data centre and in no particular order, the addresses of the
+// daemons that are not known to be unreachable, including this one's.
+func (c *Cluster) ReachableAddresses(now time.Time) map[string][]string {
 	out := map[string][]string{c.self.DataCentre: {c.self.Address}}
 	for _, p := range c.peers {
-		if !c.isLost(now, p) {
+		if !c.isUnreachable(now, p) {
 			out[p.DataCentre] = append(out[p.DataCentre], p.Address)
 		}
 	}
 	return out
 }
 
-// before orders daemons by who should relay, read and lead first.
-func before(a, b Member) int {
+// comparePriority orders daemons by which should relay, read and lead first: those on stronger
+// hosts, then by name.
+func comparePriority(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Strength, a.Strength), cmp.Compare(a.Name, b.Name))
 }
 
-// isLost tells whether a daemon is known not to answer. One that was never
-// called is not.
-func (c *Cluster) isLost(now time.Time, p *peer) bool {
-	return p.gone || p.Leaving || !p.missed.IsZero() && now.Sub(p.missed) < missedFor
+// isUnreachable reports whether a daemon is leaving or is known not to answer calls. A daemon
+// that was never called is not unreachable.
+func (c *Cluster) isUnreachable(now time.Time, p *peer) bool {
+	return p.refused || p.Leaving || !p.unansweredAt.IsZero() && now.Sub(p.unansweredAt) < unansweredBackoff
 }
 
-// forget drops daemons that were neither heard nor found for a while.
-func (c *Cluster) forget(now time.Time) {
+// expirePeers removes daemons that had no contact for forgetAfter and did not answer a call.
+func (c *Cluster) expirePeers(now time.Time) {
 	for name, p := range c.peers {
-		if (p.gone || !p.missed.IsZero()) && !p.heard.IsZero() && now.Sub(p.heard) > forgetAfter {
+		if (p.refused || !p.unansweredAt.IsZero()) && !p.lastHeard.IsZero() && now.Sub(p.lastHeard) > forgetAfter {
 			delete(c.peers, name)
-			c.changed()
+			c.invalidate()
 		}
 	}
 }
@@ -166,7 +169,8 @@
 	return out
 }
 
-// addresses lists others' addresses, each once and in order.
+// addresses returns the sorted addresses of the given members other than this daemon, without
+// duplicates.
 func (c *Cluster) addresses(members []Member) []string {
 	var out []string
 	for _, m := range members {
--- a/core/process/member/relay_test.go
+++ b/core/process/member/relay_test.go
@@ -8,92 +8,93 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// place makes a cluster of daemon "d05" in a data centre of twenty, of which "d11"
-// and "d07" stand on strong hosts, beside one of three.
-func place() *Cluster {
-	self := member("d05", "x", 1)
+// newLargeCluster returns the cluster of daemon "d05" in a data centre of twenty daemons, of which
+// "d07" and "d11" run on strong hosts. A second data centre has three daemons.
+func newLargeCluster() *Cluster {
+	self := newMember("d05", "x", 1)
 	c := New(self, t0)
 	for i := range 20 {
-		m := member(fmt.Sprintf("d%02d", i), "x", 1)
+		m := newMember(fmt.Sprintf("d%02d", i), "x", 1)
 		if i == 7 || i == 11 {
 			m.Strength = 0.8
 		}
-		c.Met(m)
+		c.AddDiscovered(m)
 	}
 	for _, name := range []string{"e1", "e2", "e3"} {
-		c.Met(member(name, "y", 1))
+		c.AddDiscovered(newMember(name, "y", 1))
 	}
 	return c
 }
 
-// Guards against daemons that all talk to each other.
+// Guards against gossip between all pairs of daemons, which grows with the square of their number.
 func TestRelays(t *testing.T) {
-	Convey("The strongest speak, and the next in their place while they are lost", t, func() {
-		c := place()
-		So(c.Relays(at(1)), ShouldResemble, []string{"d07:1", "d11:1"})
+	Convey("The strongest daemons are relays, and the next ones replace them while they are lost", t, func() {
+		c := newLargeCluster()
+		So(c.LocalRelays(at(1)), ShouldResemble, []string{"d07:1", "d11:1"})
 		So(c.IsRelay(at(1)), ShouldBeFalse)
-		So(c.FarRelays(at(1)), ShouldResemble, []string{"e1:1", "e2:1"})
-		c.Refused("d07:1")
-		So(c.Relays(at(1)), ShouldResemble, []string{"d00:1", "d11:1"})
-		c.Heard(at(2), member("d07", "x", 1), Status{})
-		So(c.Relays(at(2)), ShouldResemble, []string{"d00:1", "d11:1"}) // it says that its host is no strong one
+		So(c.RemoteRelays(at(1)), ShouldResemble, []string{"e1:1", "e2:1"})
+		c.RecordRefused("d07:1")
+		So(c.LocalRelays(at(1)), ShouldResemble, []string{"d00:1", "d11:1"})
+		c.RecordGossip(at(2), newMember("d07", "x", 1), Status{})
+		So(c.LocalRelays(at(2)), ShouldResemble, []string{"d00:1", "d11:1"}) // its gossip reports a weak host
 	})
-	Convey("One that did not answer is tried again after a while", t, func() {
-		c := place()
-		c.Missed(at(1), "d11:1")
-		So(c.Relays(at(1.1)), ShouldResemble, []string{"d00:1", "d07:1"})
-		So(c.Relays(at(1).Add(missedFor)), ShouldResemble, []string{"d07:1", "d11:1"})
+	Convey("A daemon that did not answer is a relay again after the backoff", t, func() {
+		c := newLargeCluster()
+		c.RecordUnanswered(at(1), "d11:1")
+		So(c.LocalRelays(at(1.1)), ShouldResemble, []string{"d00:1", "d07:1"})
+		So(c.LocalRelays(at(1).Add(unansweredBackoff)), ShouldResemble, []string{"d07:1", "d11:1"})
 	})
-	Convey("When all others are lost a daemon is its own relay", t, func() {
-		c := place()
+	Convey("A daemon is its own relay when all others are lost", t, func() {
+		c := newLargeCluster()
 		for i := range 20 {
-			c.Refused(fmt.Sprintf("d%02d:1", i))
+			c.RecordRefused(fmt.Sprintf("d%02d:1", i))
 		}
 		So(c.IsRelay(at(1)), ShouldBeTrue)
-		So(c.Relays(at(1)), ShouldBeEmpty)
+		So(c.LocalRelays(at(1)), ShouldBeEmpty)
 	})
 	Convey("Of two relays of different data centres one calls the other", t, func() {
-		c := place()
-		So(c.LaterRelays(at(1)), ShouldResemble, []string{"e1:1", "e2:1"})
-		far := New(member("e1", "y", 1), t0)
-		far.Met(member("d05", "x", 1))
-		So(far.LaterRelays(at(1)), ShouldBeEmpty)
-		So(far.FarRelays(at(1)), ShouldResemble, []string{"d05:1"})
+		c := newLargeCluster()
+		So(c.RemoteRelaysAfterSelf(at(1)), ShouldResemble, []string{"e1:1", "e2:1"})
+		far := New(newMember("e1", "y", 1), t0)
+		far.AddDiscovered(newMember("d05", "x", 1))
+		So(far.RemoteRelaysAfterSelf(at(1)), ShouldBeEmpty)
+		So(far.RemoteRelays(at(1)), ShouldResemble, []string{"d05:1"})
 	})
-	Convey("A relay's words a second stay the same however many daemons there are", t, func() {
-		c := place()
-		So(c.Pace(), ShouldEqual, 20*paceEach)
-		So(New(member("a", "x", 1), t0).Pace(), ShouldEqual, paceLeast)
+	Convey("The gossip interval grows with the number of daemons, so that a relay's message rate does not", t, func() {
+		c := newLargeCluster()
+		So(c.GossipInterval(), ShouldEqual, 20*gossipIntervalPerDaemon)
+		So(New(newMember("a", "x", 1), t0).GossipInterval(), ShouldEqual, minGossipInterval)
 	})
 }
 
-// Guards against a leader that is missed by daemons which hear of it by relays only.
-func TestHeardOf(t *testing.T) {
-	Convey("A relay's word of the leader counts from when the relay had it", t, func() {
-		c := heard()
-		c.HeardOf("c", 1, at(11))
-		So(c.HeardAt("c"), ShouldEqual, at(11))
-		c.HeardOf("c", 2, at(12))
-		c.HeardOf("c", 1, at(10.5))
-		So(c.HeardAt("c"), ShouldEqual, at(11))
+// Guards against daemons taking the leader for lost because they hear of it through relays only.
+func TestRecordIndirectContact(t *testing.T) {
+	Convey("A relay's report of the leader counts from the relay's own contact", t, func() {
+		c := newTestCluster()
+		c.RecordIndirectContact("c", 1, at(11))
+		So(c.LastHeard("c"), ShouldEqual, at(11))
+		c.RecordIndirectContact("c", 2, at(12))
+		c.RecordIndirectContact("c", 1, at(10.5))
+		So(c.LastHeard("c"), ShouldEqual, at(11))
 	})
 }
 
-// Guards against daemons that read the store although their relays will tell them.
-func TestMembersReadLast(t *testing.T) {
-	Convey("A relay reads old news first, the others rounds later", t, func() {
-		c := place()
+// Guards against daemons reading the store although their relays are about to update them.
+func TestNonRelaysReadLater(t *testing.T) {
+	Convey("Relays refresh a stale copy first, other daemons some rounds of gossip later", t, func() {
+		c := newLargeCluster()
 		current := at(10)
-		So(c.Reads(current.Add(staleAfter+rankStep), current, false), ShouldBeFalse)
-		So(c.Reads(current.Add(staleAfter+memberRounds*c.Pace()+20*rankStep+time.Millisecond), current, false), ShouldBeTrue)
+		So(c.ShouldRead(current.Add(staleAfter+rankDelay), current, false), ShouldBeFalse)
+		So(c.ShouldRead(current.Add(staleAfter+nonRelayRounds*c.GossipInterval()+20*rankDelay+time.Millisecond), current, false), ShouldBeTrue)
 	})
 }
 
-// Guards against daemons that name different issuers of permits, or lost ones.
-func TestLiving(t *testing.T) {
-	Convey("Whoever is not known to be lost is listed, this daemon too", t, func() {
-		c := heard()
-		before := c.Living(at(1))
+// Guards against daemons choosing different issuers of permits, or lost ones: issuers are chosen
+// among the reachable daemons.
+func TestReachableAddresses(t *testing.T) {
+	Convey("All daemons that are not known to be unreachable are listed, this one too", t, func() {
+		c := newTestCluster()
+		before := c.ReachableAddresses(at(1))
 		So(before[c.Self().DataCentre], ShouldContain, c.Self().Address)
 		lost := ""
 		for _, m := range before {
@@ -103,8 +104,8 @@
 				}
 			}
 		}
-		c.Missed(at(1), lost)
-		for _, m := range c.Living(at(1.1)) {
+		c.RecordUnanswered(at(1), lost)
+		for _, m := range c.ReachableAddresses(at(1.1)) {
 			So(m, ShouldNotContain, lost)
 		}
 	})
--- a/core/request/spread/fleet_test.go
+++ b/core/request/spread/fleet_test.go
@@ -81,7 +81,7 @@
 		p.daemons = append(p.daemons, New(uint64(i), Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons, Near: daemons, NearIndex: i}))
 	}
 	for i := range servers {
-		v := fleet.Server{ID: fmt.Sprintf("s%02d", i), Service: "s", DataCentre: "x", Slots: 3, Born: 1}
+		v := fleet.Server{ID: fmt.Sprintf("s%02d", i), Service: "s", DataCentre: "x", Slots: 3, StartMillis: 1}
 		p.list = append(p.list, v)
 		p.servers = append(p.servers, &backend{v: v, speed: []float64{0.7, 0.7, 1.6}[i%3], noise: 1})
 	}
--- a/core/request/spread/spread.go
+++ b/core/request/spread/spread.go
@@ -127,7 +127,7 @@
 // SetCold takes in how long a server says that it stays cold.
 func (s *Spread) SetCold(now time.Time, v fleet.Server) {
 	st := s.server(v)
-	st.coldTill = now.Add(v.Cold)
+	st.coldTill = now.Add(v.ColdLeft)
 }
 
 // AssumeCold takes a server for cold until its entry tells or a time has passed.
@@ -135,13 +135,13 @@
 
 func (s *Spread) server(v fleet.Server) *state {
 	st := s.servers[v.ID]
-	if st == nil || st.born != v.Born {
+	if st == nil || st.born != v.StartMillis {
 		own := 0
 		var running []time.Time
 		if st != nil {
 			own, running = st.own, st.running
 		}
-		st = &state{factor: 1, born: v.Born, own: own, running: running}
+		st = &state{factor: 1, born: v.StartMillis, own: own, running: running}
 		s.servers[v.ID] = st
 	}
 	return st
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -19,7 +19,7 @@
 func servers(n int) []fleet.Server {
 	var out []fleet.Server
 	for i := range n {
-		out = append(out, fleet.Server{ID: fmt.Sprintf("s%d", i), Service: "s", DataCentre: "x", Slots: 4, Born: 1})
+		out = append(out, fleet.Server{ID: fmt.Sprintf("s%d", i), Service: "s", DataCentre: "x", Slots: 4, StartMillis: 1})
 	}
 	return out
 }
--- a/core/version/fleet/fleet.go
+++ b/core/version/fleet/fleet.go
@@ -17,11 +17,11 @@
 	// Slots is how many requests it runs at once.
 	Slots int `json:"slots"`
 	// Born tells lives apart: Unix milliseconds of the start.
-	Born int64 `json:"born"`
+	StartMillis int64 `json:"born"`
 	// Draining servers take no new requests.
 	Draining bool `json:"draining,omitempty"`
 	// Cold is how much longer the server is cold, as it reported last.
-	Cold time.Duration `json:"cold,omitempty"`
+	ColdLeft time.Duration `json:"cold,omitempty"`
 }
 
 // Fleet is the list at one time.
@@ -52,7 +52,7 @@
 }
 
 // Of lists the servers of a service in the order of their ids.
-func (f *Fleet) Of(service string) []Server { return f.byService[service] }
+func (f *Fleet) ByService(service string) []Server { return f.byService[service] }
 
 // All lists every server in the order of their ids.
 func (f *Fleet) All() []Server { return f.servers }
--- a/core/version/gaps/gaps_test.go
+++ b/core/version/gaps/gaps_test.go
@@ -18,11 +18,11 @@
 	if closed {
 		g.Next = grant.Holder{Server: "b"}
 	}
-	return grant.Table{Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{g}}}}
+	return grant.Table{Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{g}}}}
 }
 
 // closures plays ranges that were closed for so long, one after the other.
-func closures(m *Meter, lost bool, seconds ...float64) {
+func closures(m *Estimator, lost bool, seconds ...float64) {
 	now := 0.0
 	for _, s := range seconds {
 		m.Observe(at(now), table(true), func(grant.Holder) bool { return !lost })
@@ -37,27 +37,27 @@
 		m := New()
 		closures(m, false, 0.4, 0.8, 0.9, 1.0, 2.0)
 		m.Observe(at(100), table(true), func(grant.Holder) bool { return true })
-		g := table(true).Shares[0].Ranges[0]
-		e := m.Opens(at(100), "s", g, true)
-		So(e.Likely, ShouldEqual, 900*time.Millisecond)
-		So(e.Surely, ShouldEqual, 2*time.Second)
+		g := table(true).Services[0].Ranges[0]
+		e := m.EstimateOpening(at(100), "s", g, true)
+		So(e.Median, ShouldEqual, 900*time.Millisecond)
+		So(e.P90, ShouldEqual, 2*time.Second)
 		Convey("One that has been closed for a while is compared with those that lasted as long", func() {
-			e := m.Opens(at(100.85), "s", g, true)
-			So(e.Likely, ShouldAlmostEqual, 150*time.Millisecond, time.Millisecond)
+			e := m.EstimateOpening(at(100.85), "s", g, true)
+			So(e.Median, ShouldAlmostEqual, 150*time.Millisecond, time.Millisecond)
 		})
 		Convey("One that lasts longer than any before may last much longer", func() {
-			So(m.Opens(at(104), "s", g, true).Likely, ShouldEqual, 2*time.Second)
+			So(m.EstimateOpening(at(104), "s", g, true).Median, ShouldEqual, 2*time.Second)
 		})
 		Convey("Other services and lost holders are not judged by it", func() {
-			So(m.Opens(at(100), "t", g, true).Likely, ShouldEqual, releaseGuess)
+			So(m.EstimateOpening(at(100), "t", g, true).Median, ShouldEqual, defaultReleaseTime)
 			other := grant.Range{From: 5, To: 9}
-			So(m.Opens(at(100), "s", other, false).Likely, ShouldEqual, lostGuess)
+			So(m.EstimateOpening(at(100), "s", other, false).Median, ShouldEqual, defaultLostTime)
 		})
 	})
 	Convey("The grants of lost holders run out for longer", t, func() {
 		m := New()
 		closures(m, true, 3.4, 3.5, 3.6)
 		m.Observe(at(100), table(true), func(grant.Holder) bool { return false })
-		So(m.Opens(at(101), "s", table(true).Shares[0].Ranges[0], false).Likely, ShouldEqual, 2500*time.Millisecond)
+		So(m.EstimateOpening(at(101), "s", table(true).Services[0].Ranges[0], false).Median, ShouldEqual, 2500*time.Millisecond)
 	})
 }
--- a/core/version/grant/change.go
+++ b/core/version/grant/change.go
@@ -10,7 +10,7 @@
 // hundreds of ranges, of which a move changes two, and tables go to every daemon.
 type Change struct {
 	// Base is the sequence of the table that the change is to be made to.
-	Base uint64 `json:"base"`
+	BaseSeq uint64 `json:"base"`
 	// Table holds the changed ranges only; fences are left out, since requests do
 	// not need them.
 	Table
@@ -18,27 +18,27 @@
 
 // Since returns what changed since an older table; false means that the whole
 // table is needed.
-func (t Table) Since(old Table) (Change, bool) {
-	if t.Epoch != old.Epoch || t.Leader != old.Leader || len(t.Shares) != len(old.Shares) {
+func (t Table) ChangeSince(old Table) (Change, bool) {
+	if t.Epoch != old.Epoch || t.Leader != old.Leader || len(t.Services) != len(old.Services) {
 		return Change{}, false
 	}
-	c := Change{Base: old.Seq, Table: t}
-	c.Shares = nil
-	for i, s := range t.Shares {
-		if s.Service != old.Shares[i].Service {
+	c := Change{BaseSeq: old.Seq, Table: t}
+	c.Services = nil
+	for i, s := range t.Services {
+		if s.Service != old.Services[i].Service {
 			return Change{}, false
 		}
-		if ranges := changed(s.Ranges, old.Shares[i].Ranges); len(ranges) > 0 {
-			c.Shares = append(c.Shares, Share{Service: s.Service, Ranges: ranges})
+		if ranges := changedRanges(s.Ranges, old.Services[i].Ranges); len(ranges) > 0 {
+			c.Services = append(c.Services, ServiceRanges{Service: s.Service, Ranges: ranges})
 		}
 	}
 	return c, true
 }
 
 // changed lists the ranges that are not among the old ones, fences apart.
-func changed(now, old []Range) []Range {
+func changedRanges(current, old []Range) []Range {
 	var out []Range
-	for _, r := range now {
+	for _, r := range current {
 		i := sort.Search(len(old), func(i int) bool { return old[i].From >= r.From })
 		if i < len(old) {
 			o := old[i]
@@ -54,23 +54,23 @@
 }
 
 // With makes a change to a table; false means that it was made for another one.
-func (t Table) With(c Change) (Table, bool) {
-	if t.Epoch != c.Epoch || t.Seq != c.Base || t.Leader != c.Leader {
+func (t Table) WithChange(c Change) (Table, bool) {
+	if t.Epoch != c.Epoch || t.Seq != c.BaseSeq || t.Leader != c.Leader {
 		return t, false
 	}
-	out := Table{Epoch: c.Epoch, Seq: c.Seq, Leader: c.Leader, Shares: slices.Clone(t.Shares)}
-	for _, s := range c.Shares {
-		i := slices.IndexFunc(out.Shares, func(o Share) bool { return o.Service == s.Service })
+	out := Table{Epoch: c.Epoch, Seq: c.Seq, Leader: c.Leader, Services: slices.Clone(t.Services)}
+	for _, s := range c.Services {
+		i := slices.IndexFunc(out.Services, func(o ServiceRanges) bool { return o.Service == s.Service })
 		if i < 0 {
 			return t, false
 		}
-		out.Shares[i].Ranges = overlaid(out.Shares[i].Ranges, s.Ranges)
+		out.Services[i].Ranges = replaceOverlapping(out.Services[i].Ranges, s.Ranges)
 	}
 	return out, true
 }
 
 // overlaid puts ranges in the place of all that they overlap with.
-func overlaid(old, changed []Range) []Range {
+func replaceOverlapping(old, changed []Range) []Range {
 	out := slices.Clone(changed)
 	for _, o := range old {
 		i := sort.Search(len(changed), func(i int) bool { return changed[i].To >= o.From })
--- a/core/version/grant/change_test.go
+++ b/core/version/grant/change_test.go
@@ -21,14 +21,14 @@
 		ranges = append(ranges, r)
 		from = to + 1
 	}
-	return Table{Epoch: 3, Seq: seq, Leader: Leader{Daemon: "d"}, Shares: []Share{{Service: "k", Ranges: ranges}, {Service: "same", Ranges: []Range{{To: LastKey}}}}}
+	return Table{Epoch: 3, Seq: seq, Leader: Leader{Daemon: "d"}, Services: []ServiceRanges{{Service: "k", Ranges: ranges}, {Service: "same", Ranges: []Range{{To: LastKey}}}}}
 }
 
 // Guards against a daemon that sends keys elsewhere since it got a change and not the whole table.
 func TestChangeGivesTheSameTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, now := table(t, 4), table(t, 7)
-		c, ok := now.Since(old)
+		c, ok := now.ChangeSince(old)
 		if !ok {
 			t.Fatal("a change within an epoch needs no whole table")
 		}
@@ -39,7 +39,7 @@
 		if c, err = UnmarshalChange(data); err != nil {
 			t.Fatal(err)
 		}
-		got, ok := old.With(c)
+		got, ok := old.WithChange(c)
 		if !ok || !reflect.DeepEqual(got, now) {
 			t.Fatalf("from %+v\nby %+v\ncame %+v\nnot %+v", old, c, got, now)
 		}
@@ -47,27 +47,27 @@
 }
 
 func TestChangeOfAnotherTable(t *testing.T) {
-	old := Table{Epoch: 3, Seq: 4, Shares: []Share{{Service: "k"}}}
+	old := Table{Epoch: 3, Seq: 4, Services: []ServiceRanges{{Service: "k"}}}
 	Convey("A change is made to the table that it was made for, and to no other", t, func() {
-		now := Table{Epoch: 3, Seq: 7, Shares: []Share{{Service: "k"}}}
-		c, ok := now.Since(old)
+		now := Table{Epoch: 3, Seq: 7, Services: []ServiceRanges{{Service: "k"}}}
+		c, ok := now.ChangeSince(old)
 		So(ok, ShouldBeTrue)
 		for _, other := range []Table{{Epoch: 3, Seq: 5}, {Epoch: 2, Seq: 4}, {Epoch: 3, Seq: 4, Leader: Leader{Daemon: "x"}}} {
-			_, ok := other.With(c)
+			_, ok := other.WithChange(c)
 			So(ok, ShouldBeFalse)
 		}
 	})
 	Convey("Another epoch or another set of services needs the whole table", t, func() {
-		for _, now := range []Table{{Epoch: 4, Seq: 5, Shares: old.Shares}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Shares: []Share{{Service: "other"}}}} {
-			_, ok := now.Since(old)
+		for _, now := range []Table{{Epoch: 4, Seq: 5, Services: old.Services}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "other"}}}} {
+			_, ok := now.ChangeSince(old)
 			So(ok, ShouldBeFalse)
 		}
 	})
 	Convey("A fence that was raised is no change", t, func() {
-		a := Table{Epoch: 3, Seq: 4, Shares: []Share{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 1}}}}}
-		b := Table{Epoch: 3, Seq: 5, Shares: []Share{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 2}}}}}
-		c, ok := b.Since(a)
+		a := Table{Epoch: 3, Seq: 4, Services: []ServiceRanges{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 1}}}}}
+		b := Table{Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 2}}}}}
+		c, ok := b.ChangeSince(a)
 		So(ok, ShouldBeTrue)
-		So(c.Shares, ShouldBeEmpty)
+		So(c.Services, ShouldBeEmpty)
 	})
 }
--- a/core/version/grant/key.go
+++ b/core/version/grant/key.go
@@ -3,4 +3,4 @@
 import "github.com/cespare/xxhash/v2"
 
 // KeyOf is the number of a key that callers name by a text, from 0 to LastKey.
-func KeyOf(text string) int { return int(xxhash.Sum64String(text) % (LastKey + 1)) }
+func HashKey(text string) int { return int(xxhash.Sum64String(text) % (LastKey + 1)) }
--- a/core/version/grant/table.go
+++ b/core/version/grant/table.go
@@ -10,8 +10,8 @@
 
 // Holder is one life of a backend server. The zero Holder is nobody.
 type Holder struct {
-	Server string `json:"server"`
-	Born   int64  `json:"born"`
+	Server      string `json:"server"`
+	StartMillis int64  `json:"born"`
 	// Address is kept for when the server is no longer listed: it still has to
 	// release, and another life there may have taken a grant meant for this one.
 	Address string `json:"address"`
@@ -33,13 +33,13 @@
 }
 
 // Open tells whether requests may be sent to the holder.
-func (r Range) Open() bool { return r.Holder.Server != "" && r.Next.Server == "" && !r.Pending }
+func (r Range) IsOpen() bool { return r.Holder.Server != "" && r.Next.Server == "" && !r.Pending }
 
 // Has tells whether a key lies in the range.
-func (r Range) Has(key int) bool { return r.From <= key && key <= r.To }
+func (r Range) Contains(key int) bool { return r.From <= key && key <= r.To }
 
 // Share is the division of one service's keys, in order and without gaps.
-type Share struct {
+type ServiceRanges struct {
 	Service string  `json:"service"`
 	Ranges  []Range `json:"ranges"`
 }
@@ -53,10 +53,10 @@
 
 // Table is the division of the keys of all services.
 type Table struct {
-	Epoch  uint64  `json:"epoch"`
-	Seq    uint64  `json:"seq"`
-	Leader Leader  `json:"leader"`
-	Shares []Share `json:"shares"`
+	Epoch    uint64          `json:"epoch"`
+	Seq      uint64          `json:"seq"`
+	Leader   Leader          `json:"leader"`
+	Services []ServiceRanges `json:"shares"`
 }
 
 // Newer tells whether t replaces o.
@@ -68,15 +68,15 @@
 }
 
 // Owner finds the range of a key.
-func (t Table) Owner(service string, key int) (Range, bool) {
-	for i := range t.Shares {
-		if t.Shares[i].Service != service {
+func (t Table) RangeOf(service string, key int) (Range, bool) {
+	for i := range t.Services {
+		if t.Services[i].Service != service {
 			continue
 		}
-		rs := t.Shares[i].Ranges
-		n := sort.Search(len(rs), func(i int) bool { return rs[i].To >= key })
-		if n < len(rs) && rs[n].Has(key) {
-			return rs[n], true
+		ranges := t.Services[i].Ranges
+		n := sort.Search(len(ranges), func(i int) bool { return ranges[i].To >= key })
+		if n < len(ranges) && ranges[n].Contains(key) {
+			return ranges[n], true
 		}
 		return Range{}, false
 	}
@@ -88,23 +88,23 @@
 // made out again; a successor that built on the stored form alone would close
 // ranges that are held. A later move cannot be hidden by this: its intent would
 // have been stored first, and this would not be the stored table.
-func (t Table) WithHeld(published Table) Table {
+func (t Table) WithCompletedMoves(published Table) Table {
 	if published.Epoch != t.Epoch || published.Seq <= t.Seq {
 		return t
 	}
-	shares := make([]Share, len(t.Shares))
-	for i, s := range t.Shares {
-		shares[i] = Share{Service: s.Service, Ranges: make([]Range, len(s.Ranges))}
+	services := make([]ServiceRanges, len(t.Services))
+	for i, s := range t.Services {
+		services[i] = ServiceRanges{Service: s.Service, Ranges: make([]Range, len(s.Ranges))}
 		for j, r := range s.Ranges {
-			p, ok := published.Owner(s.Service, r.From)
-			moved := r.Next.Server != "" && p.Holder == r.Next || r.Pending && p.Holder == r.Holder
-			if ok && p.From == r.From && p.To == r.To && p.Open() && moved {
+			p, ok := published.RangeOf(s.Service, r.From)
+			completed := r.Next.Server != "" && p.Holder == r.Next || r.Pending && p.Holder == r.Holder
+			if ok && p.From == r.From && p.To == r.To && p.IsOpen() && completed {
 				r = p
 			}
-			shares[i].Ranges[j] = r
+			services[i].Ranges[j] = r
 		}
 	}
-	t.Shares = shares
+	t.Services = services
 	return t
 }
 
@@ -112,14 +112,14 @@
 func (t Table) Marshal() ([]byte, error) { return json.Marshal(t) }
 
 // UnmarshalHead reads all of the stored form but the shares, which are most of it.
-func UnmarshalHead(data []byte) (Table, error) {
-	var head struct {
+func UnmarshalHeader(data []byte) (Table, error) {
+	var header struct {
 		Epoch  uint64 `json:"epoch"`
 		Seq    uint64 `json:"seq"`
 		Leader Leader `json:"leader"`
 	}
-	err := json.Unmarshal(data, &head)
-	return Table{Epoch: head.Epoch, Seq: head.Seq, Leader: head.Leader}, err
+	err := json.Unmarshal(data, &header)
+	return Table{Epoch: header.Epoch, Seq: header.Seq, Leader: header.Leader}, err
 }
 
 // Unmarshal reads the stored form.
--- a/core/version/grant/table_test.go
+++ b/core/version/grant/table_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestOwner(t *testing.T) {
-	t1 := Table{Epoch: 3, Seq: 9, Shares: []Share{{Service: "k", Ranges: []Range{
+	t1 := Table{Epoch: 3, Seq: 9, Services: []ServiceRanges{{Service: "k", Ranges: []Range{
 		{From: 0, To: 99, Holder: Holder{Server: "a"}},
 		{From: 100, To: 100, Holder: Holder{Server: "b"}, Next: Holder{Server: "c"}},
 		{From: 101, To: LastKey, Holder: Holder{Server: "c"}, Pending: true},
@@ -19,12 +19,12 @@
 			holder string
 			open   bool
 		}{{0, "a", true}, {99, "a", true}, {100, "b", false}, {101, "c", false}, {LastKey, "c", false}} {
-			r, ok := t1.Owner("k", v.key)
+			r, ok := t1.RangeOf("k", v.key)
 			So(ok, ShouldBeTrue)
 			So(r.Holder.Server, ShouldEqual, v.holder)
-			So(r.Open(), ShouldEqual, v.open)
+			So(r.IsOpen(), ShouldEqual, v.open)
 		}
-		_, ok := t1.Owner("other", 0)
+		_, ok := t1.RangeOf("other", 0)
 		So(ok, ShouldBeFalse)
 	})
 	Convey("The stored form comes back whole", t, func() {
@@ -41,14 +41,14 @@
 	a, b, c := Holder{Server: "a"}, Holder{Server: "b"}, Holder{Server: "c"}
 	one := func(seq uint64, r Range) Table {
 		r.To = LastKey
-		return Table{Epoch: 2, Seq: seq, Shares: []Share{{Service: "k", Ranges: []Range{r}}}}
+		return Table{Epoch: 2, Seq: seq, Services: []ServiceRanges{{Service: "k", Ranges: []Range{r}}}}
 	}
 	stored := one(5, Range{Holder: a, Next: b})
 	Convey("A move that its leader published as completed is completed", t, func() {
-		got := stored.WithHeld(one(7, Range{Holder: b}))
-		So(got.Shares[0].Ranges[0].Holder, ShouldResemble, b)
-		So(got.Shares[0].Ranges[0].Open(), ShouldBeTrue)
-		So(stored.Shares[0].Ranges[0].Next, ShouldResemble, b)
+		got := stored.WithCompletedMoves(one(7, Range{Holder: b}))
+		So(got.Services[0].Ranges[0].Holder, ShouldResemble, b)
+		So(got.Services[0].Ranges[0].IsOpen(), ShouldBeTrue)
+		So(stored.Services[0].Ranges[0].Next, ShouldResemble, b)
 	})
 	Convey("Anything else stays as it was stored", t, func() {
 		other := one(7, Range{Holder: b})
@@ -60,7 +60,7 @@
 			one(7, Range{Holder: b, Next: c}),
 			one(7, Range{Holder: c}),
 		} {
-			So(stored.WithHeld(published), ShouldResemble, stored)
+			So(stored.WithCompletedMoves(published), ShouldResemble, stored)
 		}
 	})
 }
@@ -81,14 +81,14 @@
 
 func TestUnmarshalHead(t *testing.T) {
 	Convey("The head is that of the whole table", t, func() {
-		whole := Table{Epoch: 3, Seq: 7, Leader: Leader{Daemon: "d", Incarnation: 2}, Shares: []Share{{Service: "s", Ranges: []Range{{To: LastKey}}}}}
+		whole := Table{Epoch: 3, Seq: 7, Leader: Leader{Daemon: "d", Incarnation: 2}, Services: []ServiceRanges{{Service: "s", Ranges: []Range{{To: LastKey}}}}}
 		data, err := whole.Marshal()
 		So(err, ShouldBeNil)
-		head, err := UnmarshalHead(data)
+		head, err := UnmarshalHeader(data)
 		So(err, ShouldBeNil)
-		whole.Shares = nil
+		whole.Services = nil
 		So(head, ShouldResemble, whole)
-		_, err = UnmarshalHead(data[:len(data)-1])
+		_, err = UnmarshalHeader(data[:len(data)-1])
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/core/version/news/news.go
+++ b/core/version/news/news.go
@@ -39,22 +39,22 @@
 	// Whole means that what is not among the items does not exist.
 	Whole bool
 	// At is when Through was known to be current, by the receiver's clock.
-	At time.Time
+	CurrentAt time.Time
 }
 
 // Cache holds the objects of one kind.
 type Cache struct {
-	kind    Kind
-	items   map[string]Item
-	seen    map[string]uint64 // the highest revision seen of each, also of unchanged values
-	through uint64
-	at      time.Time
-	forgot  uint64 // removals up to this revision are no longer remembered
+	kind          Kind
+	items         map[string]Item
+	seen          map[string]uint64 // the highest revision seen of each, also of unchanged values
+	through       uint64
+	currentAt     time.Time
+	prunedThrough uint64 // removals up to this revision are no longer remembered
 }
 
 // keepRemoved bounds the remembered removals. A daemon that knows less than
 // the oldest of them gets the whole cache.
-const keepRemoved = 512
+const maxTombstones = 512
 
 // NewCache returns an empty Cache.
 func NewCache(kind Kind) *Cache {
@@ -65,7 +65,7 @@
 func (s *Cache) Through() uint64 { return s.through }
 
 // At is when that revision was last known to be current; zero means never.
-func (s *Cache) At() time.Time { return s.at }
+func (s *Cache) CurrentAt() time.Time { return s.currentAt }
 
 // Get returns a present object.
 func (s *Cache) Get(name string) (Item, bool) {
@@ -91,7 +91,7 @@
 func (s *Cache) Merge(d Delta) []Item {
 	var changed []Item
 	if d.Whole && d.Through >= s.through {
-		changed = s.dropMissing(d)
+		changed = s.removeUnlisted(d)
 	}
 	for _, it := range d.Items {
 		old, had := s.items[it.Name]
@@ -109,18 +109,18 @@
 		changed = append(changed, it)
 	}
 	s.through = max(s.through, d.Through)
-	if d.At.After(s.at) && d.Through >= s.through {
-		s.at = d.At
+	if d.CurrentAt.After(s.currentAt) && d.Through >= s.through {
+		s.currentAt = d.CurrentAt
 	}
 	if len(changed) > 0 {
-		s.prune()
+		s.pruneTombstones()
 	}
 	return changed
 }
 
 // Since returns what a daemon lacks that knows every change through a revision.
 func (s *Cache) Since(revision uint64) Delta {
-	d := Delta{Kind: s.kind, Through: s.through, At: s.at, Whole: revision == 0 || revision < s.forgot}
+	d := Delta{Kind: s.kind, Through: s.through, CurrentAt: s.currentAt, Whole: revision == 0 || revision < s.prunedThrough}
 	for _, it := range s.items {
 		if d.Whole && !it.Removed || !d.Whole && it.Revision > revision {
 			d.Items = append(d.Items, it)
@@ -132,37 +132,37 @@
 
 // dropMissing removes what a whole list does not name. What was changed after
 // that list was made stays.
-func (s *Cache) dropMissing(d Delta) []Item {
-	named := map[string]bool{}
+func (s *Cache) removeUnlisted(d Delta) []Item {
+	listed := map[string]bool{}
 	for _, it := range d.Items {
-		named[it.Name] = true
+		listed[it.Name] = true
 	}
-	var gone []Item
+	var removed []Item
 	for name, it := range s.items {
-		if it.Removed || named[name] || it.Revision > d.Through {
+		if it.Removed || listed[name] || it.Revision > d.Through {
 			continue
 		}
 		it = Item{Name: name, Revision: d.Through, Removed: true}
 		s.items[name], s.seen[name] = it, it.Revision
-		gone = append(gone, it)
+		removed = append(removed, it)
 	}
-	return gone
+	return removed
 }
 
-func (s *Cache) prune() {
-	var removed []Item
+func (s *Cache) pruneTombstones() {
+	var tombstones []Item
 	for _, it := range s.items {
 		if it.Removed {
-			removed = append(removed, it)
+			tombstones = append(tombstones, it)
 		}
 	}
-	if len(removed) <= keepRemoved {
+	if len(tombstones) <= maxTombstones {
 		return
 	}
-	slices.SortFunc(removed, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
-	for _, it := range removed[:len(removed)-keepRemoved/2] {
+	slices.SortFunc(tombstones, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
+	for _, it := range tombstones[:len(tombstones)-maxTombstones/2] {
 		delete(s.items, it.Name)
 		delete(s.seen, it.Name)
-		s.forgot = max(s.forgot, it.Revision)
+		s.prunedThrough = max(s.prunedThrough, it.Revision)
 	}
 }
--- a/core/version/news/news_test.go
+++ b/core/version/news/news_test.go
@@ -44,9 +44,9 @@
 	})
 	Convey("News is as old as its source says", t, func() {
 		s, t0 := NewCache(Servers), time.Unix(100, 0)
-		s.Merge(Delta{Through: 5, At: t0})
-		s.Merge(Delta{Through: 4, At: t0.Add(time.Second)})
-		So(s.At(), ShouldEqual, t0)
+		s.Merge(Delta{Through: 5, CurrentAt: t0})
+		s.Merge(Delta{Through: 4, CurrentAt: t0.Add(time.Second)})
+		So(s.CurrentAt(), ShouldEqual, t0)
 	})
 }
 
--- a/examples/core/main.go
+++ b/examples/core/main.go
@@ -52,7 +52,7 @@
 }
 
 func server(id string, draining bool) fleet.Server {
-	return fleet.Server{ID: id, Address: id, Service: "workshop", DataCentre: "duluth", Slots: 3, Born: 1, Draining: draining}
+	return fleet.Server{ID: id, Address: id, Service: "workshop", DataCentre: "duluth", Slots: 3, StartMillis: 1, Draining: draining}
 }
 
 func (w *world) servers(servers ...fleet.Server) {
@@ -102,9 +102,9 @@
 }
 
 func (w *world) allHeldBy(id string) bool {
-	for _, s := range w.keeper.Table().Shares {
+	for _, s := range w.keeper.Table().Services {
 		for _, r := range s.Ranges {
-			if r.Holder.Server != id || !r.Open() {
+			if r.Holder.Server != id || !r.IsOpen() {
 				return false
 			}
 		}
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -161,7 +161,7 @@
 		}
 		a := &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body, Server: l.instance}
 		a.NotRun = resp.Header.Get(l.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
-		a.Lost = l.names.Lost != "" && resp.Header.Get(l.names.Lost) != ""
+		a.Lost = l.names.OutcomeLost != "" && resp.Header.Get(l.names.OutcomeLost) != ""
 		if a.Load = parseLoad(resp.Header.Get(l.names.Load)); a.Load != nil {
 			a.Load.Bytes = len(body)
 		}
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -124,7 +124,7 @@
 	case s.KeySegment > 0:
 		text = segment(path, s.KeySegment)
 	}
-	return grant.KeyOf(text), text != ""
+	return grant.HashKey(text), text != ""
 }
 
 // segment returns the nth segment of a path, or nothing.
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -83,15 +83,15 @@
 
 // owner finds the only server that may run a request with a key.
 func (r *Router) owner(s *snap, o *order, now time.Time) (fleet.Server, spread.Choice) {
-	g, ok := s.table.Owner(o.service.Name, o.key)
+	g, ok := s.table.RangeOf(o.service.Name, o.key)
 	v, found := s.fleet.Find(g.Holder.Server)
-	lives := found && v.Born == g.Holder.Born
+	lives := found && v.StartMillis == g.Holder.StartMillis
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if back, ok := r.admitted(o, now); !ok {
 		return v, spread.Choice{Server: v, Reason: overloaded, RetryAfter: back}
 	}
-	if !ok || !g.Open() || !lives || !s.mayServe(v) {
+	if !ok || !g.IsOpen() || !lives || !s.mayServe(v) {
 		return v, r.closedChoice(now, o, g, lives)
 	}
 	c := r.spread.Judge(now, o.need, v)
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -24,7 +24,7 @@
 		return status
 	}
 	list := func(r *Router, kind news.Kind, items ...news.Item) {
-		r.control.update(t0, deltaMsg{delta: news.Delta{Kind: kind, Items: items, Through: 9, At: t0}})
+		r.control.update(t0, deltaMsg{delta: news.Delta{Kind: kind, Items: items, Through: 9, CurrentAt: t0}})
 	}
 	Convey("They are decided by what was read", t, func() {
 		r := still()
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -22,7 +22,7 @@
 	r.mu.Lock()
 	r.gaps.Observe(now, t, func(h grant.Holder) bool {
 		v, ok := f.Find(h.Server)
-		return ok && v.Born == h.Born
+		return ok && v.StartMillis == h.StartMillis
 	})
 	r.mu.Unlock()
 	close(*r.opened.Swap(new(make(chan struct{}))))
@@ -32,19 +32,19 @@
 // the range is likely to open, so that the caller neither comes too early and is
 // refused once more, nor misses it. The caller must hold the lock.
 func (r *Router) closedChoice(now time.Time, o *order, g grant.Range, holderLives bool) spread.Choice {
-	e := r.gaps.Opens(r.now(), o.service.Name, g, holderLives)
-	o.opensBy = now.Add(e.Surely)
-	return spread.Choice{Reason: moving, RetryAfter: e.Likely}
+	e := r.gaps.EstimateOpening(r.now(), o.service.Name, g, holderLives)
+	o.opensBy = now.Add(e.P90)
+	return spread.Choice{Reason: moving, RetryAfter: e.Median}
 }
 
 // comeBack is when a caller may return whose request the holder of its key did not
 // run: when the range has another holder, or the queue is shorter.
 func (r *Router) comeBack(o *order, v fleet.Server, a *link.Answer) time.Duration {
-	g, _ := r.current.Load().table.Owner(o.service.Name, o.key)
+	g, _ := r.current.Load().table.RangeOf(o.service.Name, o.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Status == http.StatusMisdirectedRequest {
-		return r.gaps.Opens(r.now(), o.service.Name, g, true).Likely
+		return r.gaps.EstimateOpening(r.now(), o.service.Name, g, true).Median
 	}
 	return r.spread.Judge(time.Now(), o.need, v).RetryAfter
 }
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -15,11 +15,11 @@
 
 // onTheWay is a table whose only range is closed or open.
 func onTheWay(seq uint64, closed bool) grant.Table {
-	g := grant.Range{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}
+	g := grant.Range{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", StartMillis: 1, Address: "a"}}
 	if closed {
-		g.Next = grant.Holder{Server: "b", Born: 1, Address: "b"}
+		g.Next = grant.Holder{Server: "b", StartMillis: 1, Address: "b"}
 	}
-	return grant.Table{Epoch: 1, Seq: seq, Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{g}}}}
+	return grant.Table{Epoch: 1, Seq: seq, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{g}}}}
 }
 
 // lookup is a request for a key with an aim.
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -145,9 +145,9 @@
 	case calledMsg:
 		delete(c.calling, m.address)
 	case refusedMsg:
-		c.members.Refused(m.address)
+		c.members.RecordRefused(m.address)
 	case missedMsg:
-		c.members.Missed(now, m.address)
+		c.members.RecordUnanswered(now, m.address)
 	case keeperMsg:
 		c.keep(now, m.msg)
 	case leadMsg:
@@ -169,10 +169,10 @@
 }
 
 func (c *control) tick(now time.Time) {
-	c.reads.Store(c.members.Reads(now, c.caches[news.Servers].At(), c.keeper != nil))
-	c.turn.Store(int64(c.members.Turn(now)))
+	c.reads.Store(c.members.ShouldRead(now, c.caches[news.Servers].CurrentAt(), c.keeper != nil))
+	c.turn.Store(int64(c.members.LocalRank(now)))
 	if c.due(now, &c.paces.spare, spareEvery) {
-		c.spare.Store(!c.leaving && c.members.IsSpare(now, c.r.current.Load().table.Leader.Daemon))
+		c.spare.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
 	}
 	c.expire(now)
 	c.tryLead(now)
@@ -189,8 +189,8 @@
 // that another one reads in its place at once. In an outage all daemons come to try: their
 // failures are no news.
 func (c *control) storeFailed(now time.Time) {
-	first := c.members.FailedAt().IsZero()
-	c.members.StoreFailed(now)
+	first := c.members.LastStoreFailure().IsZero()
+	c.members.RecordStoreFailure(now)
 	if first && (c.keeper != nil || c.spare.Load()) {
 		c.spreadNews(now, true)
 	}
@@ -216,13 +216,13 @@
 		defer close(m.done)
 	}
 	if m.fromStore {
-		c.members.Stored(now)
+		c.members.RecordStoreResponse(now)
 	}
 	cache := c.caches[m.delta.Kind]
 	if cache == nil {
 		return
 	}
-	before := cache.At()
+	before := cache.CurrentAt()
 	changed := cache.Merge(m.delta)
 	c.gap(now, m.delta.Kind, before)
 	c.known[m.delta.Kind].Store(cache.Through())
@@ -277,7 +277,7 @@
 	for _, it := range changed {
 		var m member.Member
 		if !it.Removed && json.Unmarshal(it.Value, &m) == nil {
-			c.members.Met(m)
+			c.members.AddDiscovered(m)
 		}
 	}
 	c.share()
@@ -298,7 +298,7 @@
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	c.r.daemons = c.members.Count()
-	index, near := c.members.NearIndex()
+	index, near := c.members.LocalIndex()
 	c.r.spread.Limit(c.r.limits().WithDaemons(c.members.Count(), c.members.Index()).WithNear(near, index))
 	for _, b := range c.r.budgets {
 		b.SetShare(c.r.retryShare() * retryMargin)
@@ -311,7 +311,7 @@
 		if it.Name != tableName {
 			continue
 		}
-		head, err := grant.UnmarshalHead(it.Value)
+		head, err := grant.UnmarshalHeader(it.Value)
 		if err != nil || it.Removed {
 			c.unusableTable(it.Revision, err)
 			if it.Removed {
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -48,12 +48,12 @@
 }
 
 func entryOf(id string, revision uint64) news.Item {
-	v, _ := json.Marshal(fleet.Server{ID: id, Address: id, Service: "s", DataCentre: "x", Slots: 3, Born: 1})
+	v, _ := json.Marshal(fleet.Server{ID: id, Address: id, Service: "s", DataCentre: "x", Slots: 3, StartMillis: 1})
 	return news.Item{Name: id, Revision: revision, Value: v}
 }
 
 func (r *Router) serversAt(at time.Time, through uint64, items ...news.Item) {
-	r.control.update(at, deltaMsg{delta: news.Delta{Kind: news.Servers, Items: items, Through: through, At: at}})
+	r.control.update(at, deltaMsg{delta: news.Delta{Kind: news.Servers, Items: items, Through: through, CurrentAt: at}})
 }
 
 func (r *Router) lists(id string) bool {
@@ -115,7 +115,7 @@
 		r := still()
 		So(r.burst(), ShouldEqual, 1)
 		for _, name := range []string{"e", "f", "g", "h"} {
-			r.control.members.Met(member.Member{Name: name, Address: name})
+			r.control.members.AddDiscovered(member.Member{Name: name, Address: name})
 		}
 		r.control.share()
 		So(5*r.burst(), ShouldBeLessThan, 56)
@@ -158,7 +158,7 @@
 	Convey("It is replaced, on condition of its revision", t, func() {
 		for _, value := range []string{`{"epoch":3,"seq":1,"leader":{},"shares":5}`, `{"epoch":"x"}`, `{`} {
 			r := still()
-			r.control.update(second(1), deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, At: second(1)}})
+			r.control.update(second(1), deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, CurrentAt: second(1)}})
 			So(r.current.Load().table.Epoch, ShouldEqual, 0)
 			So(r.control.stored, ShouldResemble, storedTable{revision: 7})
 		}
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -32,7 +32,7 @@
 		return
 	}
 	to := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
-	if relays := c.members.Relays(now); !relay && len(relays) > 0 {
+	if relays := c.members.LocalRelays(now); !relay && len(relays) > 0 {
 		to = relays[0]
 	}
 	if to != "" && tellsCounts(h) {
--- a/io/process/router/entries.go
+++ b/io/process/router/entries.go
@@ -68,7 +68,7 @@
 	switch {
 	case !had:
 		a.came = append(a.came, next.ID)
-	case old.Born != next.Born || old.Address != next.Address:
+	case old.StartMillis != next.StartMillis || old.Address != next.Address:
 		a.restarted = append(a.restarted, next.ID)
 	case old.Draining != next.Draining:
 		a.draining = append(a.draining, next.ID)
@@ -120,11 +120,11 @@
 // gap notes the end of an outage: there was no news of the servers for so long
 // that entries may have lapsed although their servers live.
 func (c *control) gap(now time.Time, kind news.Kind, before time.Time) {
-	if kind != news.Servers || before.IsZero() || c.caches[kind].At().Sub(before) < outageLeast {
+	if kind != news.Servers || before.IsZero() || c.caches[kind].CurrentAt().Sub(before) < outageLeast {
 		return
 	}
 	c.entries.returned = now
-	c.r.log.Info("servers: news again after an outage", "outage", c.caches[kind].At().Sub(before).String())
+	c.r.log.Info("servers: news again after an outage", "outage", c.caches[kind].CurrentAt().Sub(before).String())
 }
 
 // applyServers takes in changed entries, and tells whether others should learn of
@@ -156,7 +156,7 @@
 	ids := slices.Concat(a.odd, a.gone, a.draining, a.restarted, a.came)
 	c.r.log.Info("servers: changed", "came", len(a.came), "restarted", len(a.restarted), "draining", len(a.draining), "gone", len(a.gone),
 		"notUsable", len(a.odd), "listed", len(c.entries.listed), "ids", ids[:min(idsLogged, len(ids))],
-		"revision", a.revision, "age", now.Sub(c.caches[news.Servers].At()).String(), "sinceOutage", sinceText(now, c.entries.returned))
+		"revision", a.revision, "age", now.Sub(c.caches[news.Servers].CurrentAt()).String(), "sinceOutage", sinceText(now, c.entries.returned))
 }
 
 // logEachServer writes a line for each server that changed: who read it from the
@@ -171,7 +171,7 @@
 	for _, id := range slices.Concat(a.came, a.restarted, a.draining) {
 		v := c.entries.listed[id]
 		c.r.log.Info("servers: entry", "server", id, "address", v.Address, "service", v.Service, "dataCentre", v.DataCentre,
-			"born", v.Born, "draining", v.Draining, "cold", v.Cold.String(), "revision", a.revision)
+			"born", v.StartMillis, "draining", v.Draining, "cold", v.ColdLeft.String(), "revision", a.revision)
 	}
 }
 
--- a/io/process/router/entries_test.go
+++ b/io/process/router/entries_test.go
@@ -37,7 +37,7 @@
 		r := still()
 		r.log = slog.New(slog.NewJSONHandler(&out, nil))
 		r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6))
-		r.control.update(second(2), deltaMsg{fromStore: true, delta: news.Delta{Kind: news.Servers, Through: 20, At: second(2),
+		r.control.update(second(2), deltaMsg{fromStore: true, delta: news.Delta{Kind: news.Servers, Through: 20, CurrentAt: second(2),
 			Items: []news.Item{{Name: "a", Revision: 15, Removed: true}, entryOf("c", 16)}}})
 		So(out.String(), ShouldContainSubstring, `"msg":"servers: gone","server":"a"`)
 		So(out.String(), ShouldContainSubstring, `"msg":"servers: entry","server":"c"`)
--- a/io/process/router/fetch.go
+++ b/io/process/router/fetch.go
@@ -71,7 +71,7 @@
 		r.post(tableMsg{table: t})
 		return
 	}
-	out := news.Delta{Kind: news.Kind(f.Kind), Through: d.Through, Whole: d.Whole, At: ago(asked, d.AgeMillis)}
+	out := news.Delta{Kind: news.Kind(f.Kind), Through: d.Through, Whole: d.Whole, CurrentAt: ago(asked, d.AgeMillis)}
 	for _, it := range d.Items {
 		out.Items = append(out.Items, news.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return grant.Table{}, err
 	}
-	t, _ := r.current.Load().table.With(c)
+	t, _ := r.current.Load().table.WithChange(c)
 	return t, nil
 }
 
@@ -103,7 +103,7 @@
 		return &wire.Delta{Kind: f.Kind}
 	}
 	d := cache.Since(f.Since)
-	out := &wire.Delta{Kind: f.Kind, Through: d.Through, Whole: d.Whole, AgeMillis: age(now, d.At)}
+	out := &wire.Delta{Kind: f.Kind, Through: d.Through, Whole: d.Whole, AgeMillis: age(now, d.CurrentAt)}
 	for _, it := range d.Items {
 		out.Items = append(out.Items, &wire.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
 	}
@@ -128,7 +128,7 @@
 
 // changeSince is the wire form of a change; nothing where the whole table is needed.
 func changeSince(t, old grant.Table) ([]byte, error) {
-	change, ok := t.Since(old)
+	change, ok := t.ChangeSince(old)
 	if !ok {
 		return nil, nil
 	}
--- a/io/process/router/follow.go
+++ b/io/process/router/follow.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		pause, listed, sure = backoffLeast, true, true
-		d.At = asked
+		d.CurrentAt = asked
 		done := make(chan struct{})
 		if !r.post(deltaMsg{delta: d, fromStore: true, done: done}) {
 			return nil
@@ -67,7 +67,7 @@
 func (r *Router) rest(ctx context.Context, pause time.Duration) {
 	began := r.now()
 	sleep(ctx, pause)
-	for ctx.Err() == nil && r.control.reads.Load() && r.now().Sub(began) < member.RetryPause(int(r.control.turn.Load()), pause) {
+	for ctx.Err() == nil && r.control.reads.Load() && r.now().Sub(began) < member.RetryDelay(int(r.control.turn.Load()), pause) {
 		sleep(ctx, idlePoll)
 	}
 }
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -20,8 +20,8 @@
 // look for the lost.
 func (c *control) gossip(now time.Time) {
 	relay := c.members.IsRelay(now)
-	if c.due(now, &c.paces.near, c.members.Pace()) {
-		c.gossipTo(now, c.members.Relays(now), true)
+	if c.due(now, &c.paces.near, c.members.GossipInterval()) {
+		c.gossipTo(now, c.members.LocalRelays(now), true)
 		c.sendHeat(now, relay)
 	}
 	if c.members.Count() == 1 && c.due(now, &c.paces.seeds, leaderGossip) {
@@ -36,8 +36,8 @@
 		}
 	}
 	if relay && c.due(now, &c.paces.far, farGossip) {
-		c.gossipTo(now, c.members.LaterRelays(now), false)
-		c.gossipTo(now, c.members.Near(now), true)
+		c.gossipTo(now, c.members.RemoteRelaysAfterSelf(now), false)
+		c.gossipTo(now, c.members.LocalPeers(now), true)
 	}
 }
 
@@ -57,15 +57,15 @@
 // tells all relays and its own data centre; a relay that learns of it tells its own.
 func (c *control) spreadNews(now time.Time, first bool) {
 	if first || c.members.IsRelay(now) {
-		c.gossipTo(now, c.members.Near(now), true)
+		c.gossipTo(now, c.members.LocalPeers(now), true)
 	}
 	if first {
-		c.gossipTo(now, c.members.FarRelays(now), false)
+		c.gossipTo(now, c.members.RemoteRelays(now), false)
 	}
 }
 
 // gossipToAll tells everybody at once; only for what is rare and cannot wait.
-func (c *control) gossipToAll(now time.Time) { c.gossipTo(now, c.members.All(now), false) }
+func (c *control) gossipToAll(now time.Time) { c.gossipTo(now, c.members.AllPeers(now), false) }
 
 // gossipTo tells some; near ones also learn what this daemon has under way.
 func (c *control) gossipTo(now time.Time, addresses []string, near bool) {
@@ -92,12 +92,12 @@
 	t := c.r.current.Load().table
 	h := &wire.Gossip{
 		Name: c.r.self.Name, Address: c.r.self.Address, DataCentre: c.r.self.DataCentre, Incarnation: c.r.self.Incarnation, Strength: c.r.self.Strength,
-		Leaving: c.leaving || c.keeper != nil && c.members.GivesWay(now), StoredAgeMillis: age(now, c.members.LastStored()), StoreFailedAgeMillis: age(now, c.members.FailedAt()), Epoch: t.Epoch, Seq: t.Seq,
+		Leaving: c.leaving || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: age(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: age(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
 		Leader: t.Leader.Daemon, LeaderIncarnation: t.Leader.Incarnation, LeaderAgeMillis: c.leaderAge(now, t.Leader),
 	}
 	for _, k := range news.Kinds {
 		s := c.caches[k]
-		h.Known = append(h.Known, &wire.Known{Kind: string(k), Through: s.Through(), AgeMillis: age(now, s.At())})
+		h.Known = append(h.Known, &wire.Known{Kind: string(k), Through: s.Through(), AgeMillis: age(now, s.CurrentAt())})
 	}
 	h.Suspects, h.Sent = c.r.suspectNews(), c.r.sentNews()
 	h.LimitsEpoch, h.LimitsSeq = c.limits.epoch, c.limits.seq
@@ -127,7 +127,7 @@
 		}
 		return -1
 	}
-	return age(now, c.members.HeardAt(l.Daemon))
+	return age(now, c.members.LastHeard(l.Daemon))
 }
 
 func (r *Router) sendGossip(address string, h *wire.Gossip) {
@@ -162,10 +162,10 @@
 		m.reply <- reply
 	}
 	before := c.members.Count()
-	c.members.Heard(now, member.Member{Name: h.Name, Address: h.Address, DataCentre: h.DataCentre, Incarnation: h.Incarnation, Strength: h.Strength},
-		member.Status{Leaving: h.Leaving, Stored: ago(now, h.StoredAgeMillis), Failed: ago(now, h.StoreFailedAgeMillis), Epoch: h.Epoch})
+	c.members.RecordGossip(now, member.Member{Name: h.Name, Address: h.Address, DataCentre: h.DataCentre, Incarnation: h.Incarnation, Strength: h.Strength},
+		member.Status{Leaving: h.Leaving, LastStoreResponse: ago(now, h.StoredAgeMillis), LastStoreFailure: ago(now, h.StoreFailedAgeMillis), Epoch: h.Epoch})
 	if h.Leader != h.Name && h.LeaderAgeMillis >= 0 {
-		c.members.HeardOf(h.Leader, h.LeaderIncarnation, ago(now, h.LeaderAgeMillis))
+		c.members.RecordIndirectContact(h.Leader, h.LeaderIncarnation, ago(now, h.LeaderAgeMillis))
 	}
 	if c.members.Count() != before {
 		c.share()
@@ -189,8 +189,8 @@
 		if k.Through > cache.Through() {
 			c.fetch(now, h.Address, &wire.Fetch{Kind: k.Kind, Since: cache.Through()})
 		} else if k.Through == cache.Through() && k.Through > 0 {
-			before := cache.At()
-			cache.Merge(news.Delta{Kind: news.Kind(k.Kind), Through: k.Through, At: ago(now, k.AgeMillis)})
+			before := cache.CurrentAt()
+			cache.Merge(news.Delta{Kind: news.Kind(k.Kind), Through: k.Through, CurrentAt: ago(now, k.AgeMillis)})
 			c.gap(now, news.Kind(k.Kind), before)
 		}
 	}
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -19,7 +19,7 @@
 	if c.keeper != nil || c.lead.taking || c.leaving || c.through(news.Tables) == 0 || len(c.r.current.Load().keyed()) == 0 {
 		return
 	}
-	try, _ := c.members.MayLead(now, c.stored.head.Leader)
+	try, _ := c.members.ShouldTakeLead(now, c.stored.head.Leader)
 	if !try {
 		return
 	}
@@ -28,7 +28,7 @@
 		c.unusableTable(c.stored.revision, err)
 	}
 	c.lead.taking = true
-	next := stored.WithHeld(c.r.current.Load().table)
+	next := stored.WithCompletedMoves(c.r.current.Load().table)
 	next.Epoch, next.Seq = stored.Epoch+1, stored.Seq+1
 	next.Leader = grant.Leader{Daemon: c.r.self.Name, Incarnation: c.r.self.Incarnation}
 	go c.r.takeLead(next, stored, c.stored.revision)
@@ -64,7 +64,7 @@
 // beginLead begins a leadership.
 func (c *control) beginLead(now time.Time, m leadMsg) {
 	c.lead = leadership{before: m.before.Leader, led: true}
-	c.members.Stored(now)
+	c.members.RecordStoreResponse(now)
 	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithHold(c.r.hold))
 	c.heats = newHeats()
 	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.lead.before.Daemon, "revision", m.revision)
@@ -75,8 +75,8 @@
 // runKeeper lets the keeper act on what is known now.
 func (c *control) runKeeper(now time.Time) {
 	c.updateFleet(now)
-	c.keep(now, keeper.CurrentMsg{Epoch: c.stored.head.Epoch, At: c.caches[news.Tables].At()})
-	if c.keeper != nil && c.members.GaveWay(c.lead.before, c.keeper.Table().Epoch) {
+	c.keep(now, keeper.CurrentMsg{Epoch: c.stored.head.Epoch, At: c.caches[news.Tables].CurrentAt()})
+	if c.keeper != nil && c.members.HasSteppedDown(c.lead.before, c.keeper.Table().Epoch) {
 		c.keep(now, keeper.OldLeaderMsg{At: now})
 	}
 	if now.Sub(c.heats.meter.Since()) >= heatEvery {
@@ -126,13 +126,13 @@
 		c.keeper = nil
 	case keeper.NoteCmd:
 		c.r.log.Info("keys: "+cmd.Text, "service", cmd.Service, "from", cmd.From, "to", cmd.To, "holder", cmd.Holder.Server,
-			"born", cmd.Holder.Born, "next", cmd.Next.Server, "fence", cmd.Fence, "reason", cmd.Reason)
+			"born", cmd.Holder.StartMillis, "next", cmd.Next.Server, "fence", cmd.Fence, "reason", cmd.Reason)
 	}
 }
 
 func (r *Router) grant(cmd keeper.GrantCmd) {
 	m := keeper.GrantedMsg{Cmd: cmd, Result: grant.NotSent}
-	w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.Born, use: forGrants})
+	w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.StartMillis, use: forGrants})
 	w.turn.Lock()
 	if r.now().Before(cmd.Before) {
 		q := r.protocol.Grant(cmd.Call)
@@ -148,7 +148,7 @@
 func (r *Router) release(cmd keeper.ReleaseCmd) {
 	m := keeper.ReleasedMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.Before) {
-		w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.Born, use: forReleases})
+		w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.StartMillis, use: forReleases})
 		m.Result, m.Handover = r.order(w, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
 	r.meters.add("releases." + m.Result.String())
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -66,10 +66,10 @@
 	c.r.mu.Unlock()
 	var to []string
 	if made || c.members.IsRelay(now) {
-		to = c.members.Near(now)
+		to = c.members.LocalPeers(now)
 	}
 	if made {
-		to = append(to, c.members.FarRelays(now)...)
+		to = append(to, c.members.RemoteRelays(now)...)
 	}
 	for _, a := range to {
 		if c.calling[a] {
--- a/io/process/router/links.go
+++ b/io/process/router/links.go
@@ -61,7 +61,7 @@
 }
 
 func (l *links) of(v fleet.Server) *way {
-	return l.get(linkKey{address: v.Address, id: v.ID, born: v.Born})
+	return l.get(linkKey{address: v.Address, id: v.ID, born: v.StartMillis})
 }
 
 // keep closes the ways to lives that are no longer in the list.
@@ -69,7 +69,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k, w := range l.ways {
-		if v, ok := f.Find(k.id); !ok || v.Born != k.born || v.Address != k.address {
+		if v, ok := f.Find(k.id); !ok || v.StartMillis != k.born || v.Address != k.address {
 			w.Close()
 			delete(l.ways, k)
 		}
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -66,7 +66,7 @@
 // have ended.
 func (c *control) listIssuers(now time.Time) {
 	if c.due(now, &c.paces.issuers, issuersEvery) {
-		living := c.members.Living(now)
+		living := c.members.ReachableAddresses(now)
 		c.r.permits.issuers.Store(&living)
 		c.r.mu.Lock()
 		c.r.permits.issuer.Expire(time.Now())
@@ -157,7 +157,7 @@
 	}
 	r.permits.lastID++
 	return permit.Request{
-		Server: fmt.Sprintf("%s %d", v.ID, v.Born), ID: r.permits.lastID, Slots: v.Slots,
+		Server: fmt.Sprintf("%s %d", v.ID, v.StartMillis), ID: r.permits.lastID, Slots: v.Slots,
 		Work: work, Patience: r.spread.Patience(o.need) - now.Sub(o.Read), Lasts: o.deadline.Sub(now) + answerMargin,
 	}, true
 }
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -21,7 +21,7 @@
 func contended() *Router {
 	r := still()
 	r.self.Address = "me"
-	r.control.members.Met(r.self)
+	r.control.members.AddDiscovered(r.self)
 	r.serversAt(second(1), 10, entryOf("a", 5))
 	r.control.applyTable(second(1), onTheWay(1, false))
 	r.permits.issuers.Store(&map[string][]string{"x": {"me"}})
@@ -116,7 +116,7 @@
 	Convey("Servers of a kind are asked in turn, and then no more", t, func() {
 		r := contended()
 		for i := range 20 {
-			r.control.members.Met(member.Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i)})
+			r.control.members.AddDiscovered(member.Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i)})
 		}
 		r.control.share()
 		r.serversAt(second(2), 20, entryOf("b", 11), entryOf("c", 12), entryOf("d", 13), entryOf("e", 14))
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -71,7 +71,7 @@
 	unanswered recent[firstSent]
 	burn       *burn.Meter
 	// gaps are how long ranges stayed closed.
-	gaps    *gaps.Meter
+	gaps    *gaps.Estimator
 	gate    *admit.Gate
 	permits permits
 	// booted is closed once requests need not wait for what a start must read.
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -55,8 +55,8 @@
 	Convey("The holder of a key stays the choice after an answer that was lost", t, func() {
 		r := still()
 		r.serversAt(second(1), 10, entryOf("a", 5))
-		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{
-			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}}}}}))
+		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{
+			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", StartMillis: 1, Address: "a"}}}}}}))
 		now := time.Now()
 		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, Attempts: 2, Aim: time.Second},
 			need: spread.Need{Route: "look", Aim: time.Second, Began: now, Deadline: now.Add(3 * time.Second), Near: "x"}}
@@ -143,7 +143,7 @@
 	Convey("Only listed servers are kept", t, func() {
 		h := newHeats()
 		h.add(&wire.Gossip{Paces: []*wire.Pace{{Server: "a", Factor: 4, Answers: 9}, {Server: "b", Factor: 4, Answers: 9}}})
-		h.roll(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", Born: 1}}))
+		h.roll(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", StartMillis: 1}}))
 		So(h.paces.Factors(), ShouldContainKey, "a")
 		So(h.paces.Factors(), ShouldNotContainKey, "b")
 	})
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -104,15 +104,15 @@
 	if err != nil {
 		c.r.log.Error("status: counters not written", "err", err)
 	}
-	newest := c.members.LastStored()
+	newest := c.members.LastStoreResponse()
 	for _, cache := range c.caches {
-		if cache.At().After(newest) {
-			newest = cache.At()
+		if cache.CurrentAt().After(newest) {
+			newest = cache.CurrentAt()
 		}
 	}
 	own := &wire.StatusReply{Daemon: c.r.self.Name, DataCentre: c.r.self.DataCentre, Leader: s.table.Leader.Daemon,
 		StoredAgeMillis: age(now, newest), Config: s.config.Version, Stopping: c.leaving, Counters: counters}
-	return status{own: own, others: c.members.All(now)}
+	return status{own: own, others: c.members.AllPeers(now)}
 }
 
 // Ready tells whether callers should be sent here.
@@ -133,13 +133,13 @@
 	s := r.current.Load()
 	for _, service := range s.keyed() {
 		shares := 0
-		for _, share := range s.table.Shares {
+		for _, share := range s.table.Services {
 			if share.Service != service {
 				continue
 			}
 			shares++
 			for _, g := range share.Ranges {
-				if !g.Open() {
+				if !g.IsOpen() {
 					return false
 				}
 			}
--- a/io/standin/direct/direct.go
+++ b/io/standin/direct/direct.go
@@ -138,7 +138,7 @@
 	}
 	if s.Keyed {
 		key := path[strings.LastIndex(path, "/")+1:]
-		return servers[grant.KeyOf(key)%len(servers)]
+		return servers[grant.HashKey(key)%len(servers)]
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -177,7 +177,7 @@
 	}
 	n := names.Default()
 	req.Header.Set(n.ID, r.Header.Get(n.ID))
-	req.Header.Set(n.Key, strconv.Itoa(grant.KeyOf(path[strings.LastIndex(path, "/")+1:])))
+	req.Header.Set(n.Key, strconv.Itoa(grant.HashKey(path[strings.LastIndex(path, "/")+1:])))
 	resp, err := h.client.Do(req)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, "notRun"
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -253,7 +253,7 @@
 // buckets is how finely outages are counted.
 const buckets = 256
 
-func bucketOf(key string) int { return grant.KeyOf(key) * buckets / (grant.LastKey + 1) }
+func bucketOf(key string) int { return grant.HashKey(key) * buckets / (grant.LastKey + 1) }
 
 // longWait counts a wait as an outage when no queue explains it.
 func longWait(took time.Duration) time.Duration {
--- a/io/standin/server/ids.go
+++ b/io/standin/server/ids.go
@@ -250,7 +250,7 @@
 // answerLost says that nobody can tell whether the booking ran, and that it will not.
 func answerLost(w http.ResponseWriter, q request) {
 	w.Header().Set(names.Default().ID, q.id)
-	w.Header().Set(names.Default().Lost, "1")
+	w.Header().Set(names.Default().OutcomeLost, "1")
 	w.WriteHeader(http.StatusConflict)
 }
 
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -68,16 +68,16 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, share := range t.Shares {
+	for _, share := range t.Services {
 		have := c.owner[share.Service]
 		if have == nil {
 			have = make([]string, keeper.Buckets)
 			c.owner[share.Service] = have
 		}
 		for bucket := range have {
-			r, ok := t.Owner(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
+			r, ok := t.RangeOf(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
 			now := r.Holder.Address
-			if !ok || !r.Open() || now == have[bucket] {
+			if !ok || !r.IsOpen() || now == have[bucket] {
 				continue
 			}
 			if have[bucket] != "" {
