--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// silenceTimeout is how long after its last gossip a daemon of the same data centre, or a
+	// silenceTimeout is how long after the last contact a daemon of the same data centre, or a
 	// leader, counts as lost. Daemons gossip every half second; two messages may be lost.
 	silenceTimeout = 1500 * time.Millisecond
 	// rankDelay is how much longer each candidate waits than the one ranked before it, so
@@ -17,9 +17,9 @@
 	// staleAfter is how old a daemon's copy of the store may be before the daemon reads the
 	// store itself. The leader's watch returns nothing for up to 0.6 s and pauses for
 	// 0.3 s, and its gossip takes another 0.5 s; with a shorter limit all daemons
-	// would read. It must also be short enough to replace a leader that is the only one
-	// the store refuses: two seconds after a server announces that it leaves, the daemons
-	// must know of it.
+	// would read. It must also be short enough that another daemon reads in time if the
+	// store refuses only the leader: all daemons must know of a leaving server two seconds
+	// after its announcement.
 	staleAfter = 1600 * time.Millisecond
 	// takeoverStrengthRatio is how many times as strong as the leader's host a host must be
 	// for its daemon to take over. Each change of leader briefly delays moves of key
@@ -59,9 +59,12 @@
 	Epoch uint64
 }
 
+// peer is what is known of another daemon.
 type peer struct {
 	Member
 	Status
+	// lastHeard is when this daemon, or another one that reported it, last had contact with
+	// the peer; zero if never.
 	lastHeard time.Time
 	// refused is set when the daemon's address refused a connection after the last contact.
 	refused bool
@@ -81,8 +84,8 @@
 	// silenceTimeout from then on.
 	observedLeader grant.Leader
 	observedSince  time.Time
-	// lostLeader is the leader that counts as lost, and lostSince the moment from which
-	// candidates count their delay.
+	// lostLeader is the leader that counts as lost, and lostSince the moment from which this
+	// daemon counts its delay before it tries to take the lead.
 	lostLeader grant.Leader
 	lostSince  time.Time
 	// relaysByDataCentre caches the relays, which are looked up many times a second. It is
@@ -313,9 +316,9 @@
 	return !p.refused && now.Sub(p.lastHeard) < silenceTimeout
 }
 
-// candidateRank is the number of live daemons that rank before this one as leader or reader,
-// leaving out those that have had no response from the store lately. With localOnly it counts
-// those of the own data centre only.
+// candidateRank is the number of live daemons that rank before this one as leader or reader.
+// Daemons without a recent response from the store are left out, except just after this daemon
+// started. If localOnly is set, only daemons of the own data centre count.
 func (c *Cluster) candidateRank(now time.Time, localOnly bool) int {
 	n := 0
 	for _, p := range c.peers {
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -18,8 +18,8 @@
 	return Member{Name: name, Address: name + ":1", DataCentre: dataCentre, Incarnation: incarnation}
 }
 
-// newTestCluster returns the cluster of daemon "b", which has just got gossip from "a" in its own data
-// centre and "c" in another one.
+// newTestCluster returns the cluster of daemon "b", which has just got gossip from "a" in its own
+// data centre and "c" in another one.
 func newTestCluster() *Cluster {
 	c := New(newMember("b", "x", 1), t0)
 	c.RecordStoreResponse(at(9.9))
--- a/core/process/member/reader.go
+++ b/core/process/member/reader.go
@@ -50,8 +50,8 @@
 // isBetterStandby reports whether relay a is a better standby reader than relay b for a leader
 // in the given data centre.
 func isBetterStandby(leaderDataCentre string, a, b Member) bool {
-	if aNearLeader, bNearLeader := a.DataCentre == leaderDataCentre, b.DataCentre == leaderDataCentre; aNearLeader != bNearLeader {
-		return bNearLeader
+	if aWithLeader, bWithLeader := a.DataCentre == leaderDataCentre, b.DataCentre == leaderDataCentre; aWithLeader != bWithLeader {
+		return bWithLeader
 	}
 	return comparePriority(a, b) < 0
 }
--- a/core/process/member/reader_test.go
+++ b/core/process/member/reader_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// newFiveDaemonCluster returns the cluster of one of five daemons that know each other: "a" and "b" in data
-// centre "x", "c" and "d" in "y", "e" in "z".
+// newFiveDaemonCluster returns the cluster of one of five daemons that know each other: "a" and
+// "b" in data centre "x", "c" and "d" in "y", "e" in "z".
 func newFiveDaemonCluster(self string) *Cluster {
 	dataCentres := map[string]string{"a": "x", "b": "x", "c": "y", "d": "y", "e": "z"}
 	c := New(newMember(self, dataCentres[self], 1), t0)
@@ -17,8 +17,8 @@
 	return c
 }
 
-// standbyReaders returns the daemons that consider themselves the standby reader for a leader after
-// learn has been applied to the cluster of each.
+// standbyReaders returns the daemons that consider themselves the standby reader for a leader,
+// after learn has been applied to the cluster of each.
 func standbyReaders(leader string, learn func(*Cluster)) []string {
 	var out []string
 	for _, self := range []string{"a", "b", "c", "d", "e"} {
--- a/core/process/member/relay_test.go
+++ b/core/process/member/relay_test.go
@@ -55,10 +55,10 @@
 	Convey("Of two relays of different data centres one calls the other", t, func() {
 		c := newLargeCluster()
 		So(c.RemoteRelaysAfterSelf(at(1)), ShouldResemble, []string{"e1:1", "e2:1"})
-		far := New(newMember("e1", "y", 1), t0)
-		far.AddDiscovered(newMember("d05", "x", 1))
-		So(far.RemoteRelaysAfterSelf(at(1)), ShouldBeEmpty)
-		So(far.RemoteRelays(at(1)), ShouldResemble, []string{"d05:1"})
+		remote := New(newMember("e1", "y", 1), t0)
+		remote.AddDiscovered(newMember("d05", "x", 1))
+		So(remote.RemoteRelaysAfterSelf(at(1)), ShouldBeEmpty)
+		So(remote.RemoteRelays(at(1)), ShouldResemble, []string{"d05:1"})
 	})
 	Convey("The gossip interval grows with the number of daemons, so that a relay's message rate does not", t, func() {
 		c := newLargeCluster()
@@ -83,9 +83,9 @@
 func TestNonRelaysReadLater(t *testing.T) {
 	Convey("Relays refresh a stale copy first, other daemons some rounds of gossip later", t, func() {
 		c := newLargeCluster()
-		current := at(10)
-		So(c.ShouldRead(current.Add(staleAfter+rankDelay), current, false), ShouldBeFalse)
-		So(c.ShouldRead(current.Add(staleAfter+nonRelayRounds*c.GossipInterval()+20*rankDelay+time.Millisecond), current, false), ShouldBeTrue)
+		currentAt := at(10)
+		So(c.ShouldRead(currentAt.Add(staleAfter+rankDelay), currentAt, false), ShouldBeFalse)
+		So(c.ShouldRead(currentAt.Add(staleAfter+nonRelayRounds*c.GossipInterval()+20*rankDelay+time.Millisecond), currentAt, false), ShouldBeTrue)
 	})
 }
 
@@ -94,19 +94,19 @@
 func TestReachableAddresses(t *testing.T) {
 	Convey("All daemons that are not known to be unreachable are listed, this one too", t, func() {
 		c := newTestCluster()
-		before := c.ReachableAddresses(at(1))
-		So(before[c.Self().DataCentre], ShouldContain, c.Self().Address)
+		addresses := c.ReachableAddresses(at(1))
+		So(addresses[c.Self().DataCentre], ShouldContain, c.Self().Address)
 		lost := ""
-		for _, m := range before {
-			for _, address := range m {
+		for _, list := range addresses {
+			for _, address := range list {
 				if address != c.Self().Address {
 					lost = address
 				}
 			}
 		}
 		c.RecordUnanswered(at(1), lost)
-		for _, m := range c.ReachableAddresses(at(1.1)) {
-			So(m, ShouldNotContain, lost)
+		for _, list := range c.ReachableAddresses(at(1.1)) {
+			So(list, ShouldNotContain, lost)
 		}
 	})
 }
--- a/core/version/gaps/gaps.go
+++ b/core/version/gaps/gaps.go
@@ -10,9 +10,9 @@
 const (
 	// maxSamples is how many closures an estimate is based on.
 	maxSamples = 64
-	// defaultReleaseTime is the expected length of a closure before one of a planned move
-	// has been observed. defaultLostTime is the same for a lost holder: most of the time
-	// for which a grant is valid.
+	// The default times are the expected lengths of closures until some have been observed:
+	// defaultReleaseTime for planned moves, and defaultLostTime for lost holders, which is
+	// most of the time for which a grant is valid.
 	defaultReleaseTime = 500 * time.Millisecond
 	defaultLostTime    = 3 * time.Second
 	// upperQuantile is the fraction of closures that end within Estimate.P90.
@@ -97,8 +97,8 @@
 	return e.remaining(group, elapsed)
 }
 
-// remaining estimates how much longer a closure lasts from those earlier ones that lasted for
-// longer than the time elapsed.
+// remaining estimates how much longer a closure lasts, based on the earlier closures that lasted
+// longer than it has so far. If there are none, it uses the default times and overrunFactor.
 func (e *Estimator) remaining(group sampleGroup, elapsed time.Duration) Estimate {
 	var remainders []time.Duration
 	for _, duration := range e.durations[group] {
--- a/core/version/gaps/gaps_test.go
+++ b/core/version/gaps/gaps_test.go
@@ -22,34 +22,34 @@
 }
 
 // replayClosures observes a range that closes for each of the given times, one after the other.
-func replayClosures(m *Estimator, holderLost bool, seconds ...float64) {
+func replayClosures(estimator *Estimator, holderLost bool, seconds ...float64) {
 	now := 0.0
 	for _, s := range seconds {
-		m.Observe(at(now), newTable(true), func(grant.Holder) bool { return !holderLost })
-		m.Observe(at(now+s), newTable(false), func(grant.Holder) bool { return !holderLost })
+		estimator.Observe(at(now), newTable(true), func(grant.Holder) bool { return !holderLost })
+		estimator.Observe(at(now+s), newTable(false), func(grant.Holder) bool { return !holderLost })
 		now += s + 1
 	}
 }
 
-// Guards against callers being told to retry before the range of their key is open.
+// Guards against callers being asked to retry before the range of their key is open.
 func TestEstimateOpening(t *testing.T) {
 	Convey("A closure is expected to last as long as earlier ones of its service", t, func() {
 		estimator := New()
 		replayClosures(estimator, false, 0.4, 0.8, 0.9, 1.0, 2.0)
 		estimator.Observe(at(100), newTable(true), func(grant.Holder) bool { return true })
-		g := newTable(true).Services[0].Ranges[0]
-		e := estimator.EstimateOpening(at(100), "s", g, true)
+		r := newTable(true).Services[0].Ranges[0]
+		e := estimator.EstimateOpening(at(100), "s", r, true)
 		So(e.Median, ShouldEqual, 900*time.Millisecond)
 		So(e.P90, ShouldEqual, 2*time.Second)
 		Convey("A range that has been closed for a while is compared with closures that lasted longer", func() {
-			e := estimator.EstimateOpening(at(100.85), "s", g, true)
+			e := estimator.EstimateOpening(at(100.85), "s", r, true)
 			So(e.Median, ShouldAlmostEqual, 150*time.Millisecond, time.Millisecond)
 		})
 		Convey("A closure longer than any before is expected to last for half as long again", func() {
-			So(estimator.EstimateOpening(at(104), "s", g, true).Median, ShouldEqual, 2*time.Second)
+			So(estimator.EstimateOpening(at(104), "s", r, true).Median, ShouldEqual, 2*time.Second)
 		})
 		Convey("Other services and lost holders are estimated separately", func() {
-			So(estimator.EstimateOpening(at(100), "t", g, true).Median, ShouldEqual, defaultReleaseTime)
+			So(estimator.EstimateOpening(at(100), "t", r, true).Median, ShouldEqual, defaultReleaseTime)
 			other := grant.Range{From: 5, To: 9}
 			So(estimator.EstimateOpening(at(100), "s", other, false).Median, ShouldEqual, defaultLostTime)
 		})
--- a/core/version/grant/table_test.go
+++ b/core/version/grant/table_test.go
@@ -8,31 +8,31 @@
 )
 
 func TestRangeOf(t *testing.T) {
-	t1 := Table{Epoch: 3, Seq: 9, Services: []ServiceRanges{{Service: "k", Ranges: []Range{
+	table := Table{Epoch: 3, Seq: 9, Services: []ServiceRanges{{Service: "k", Ranges: []Range{
 		{From: 0, To: 99, Holder: Holder{Server: "a"}},
 		{From: 100, To: 100, Holder: Holder{Server: "b"}, Next: Holder{Server: "c"}},
 		{From: 101, To: LastKey, Holder: Holder{Server: "c"}, Pending: true},
 	}}}}
 	Convey("Each key lies in one range, and closed ranges take no requests", t, func() {
-		for _, v := range []struct {
+		for _, test := range []struct {
 			key    int
 			holder string
 			open   bool
 		}{{0, "a", true}, {99, "a", true}, {100, "b", false}, {101, "c", false}, {LastKey, "c", false}} {
-			r, ok := t1.RangeOf("k", v.key)
+			r, ok := table.RangeOf("k", test.key)
 			So(ok, ShouldBeTrue)
-			So(r.Holder.Server, ShouldEqual, v.holder)
-			So(r.IsOpen(), ShouldEqual, v.open)
+			So(r.Holder.Server, ShouldEqual, test.holder)
+			So(r.IsOpen(), ShouldEqual, test.open)
 		}
-		_, ok := t1.RangeOf("other", 0)
+		_, ok := table.RangeOf("other", 0)
 		So(ok, ShouldBeFalse)
 	})
 	Convey("Unmarshal returns the table that was marshalled", t, func() {
-		data, err := t1.Marshal()
+		data, err := table.Marshal()
 		So(err, ShouldBeNil)
 		back, err := Unmarshal(data)
 		So(err, ShouldBeNil)
-		So(back, ShouldResemble, t1)
+		So(back, ShouldResemble, table)
 	})
 }
 
--- a/core/version/news/news.go
+++ b/core/version/news/news.go
@@ -85,9 +85,9 @@
 	return out
 }
 
-// Merge applies a delta and returns the objects whose value changed or that were removed. An
-// object whose value did not change keeps its revision in the cache, so that it is not sent to
-// other daemons again: the entry of a server is rewritten every second or two.
+// Merge applies a delta and returns the objects that were added, changed or removed. An object
+// whose value did not change keeps its revision in the cache, so that it is not sent to other
+// daemons again: the entry of a server is rewritten every second or two.
 func (c *Cache) Merge(d Delta) []Item {
 	var changed []Item
 	if d.Whole && d.Through >= c.through {
