--- a/core/request/spread/simulation_test.go
+++ b/core/request/spread/simulation_test.go
@@ -83,7 +83,7 @@
 		sim.daemons = append(sim.daemons, New(uint64(i), Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons, LocalDaemons: daemons, LocalIndex: i}))
 	}
 	for i := range servers {
-		server := fleet.Server{ID: fmt.Sprintf("s%02d", i), Service: "s", DataCentre: "x", Slots: 3, Born: 1}
+		server := fleet.Server{ID: fmt.Sprintf("s%02d", i), Service: "s", DataCentre: "x", Slots: 3, StartMillis: 1}
 		sim.serverList = append(sim.serverList, server)
 		sim.servers = append(sim.servers, &backend{server: server, slowdown: []float64{0.7, 0.7, 1.6}[i%3], noise: 1})
 	}
--- a/core/request/spread/spread.go
+++ b/core/request/spread/spread.go
@@ -132,7 +132,7 @@
 // SetCold sets how long a server stays cold, as its entry reports.
 func (b *Balancer) SetCold(now time.Time, server fleet.Server) {
 	st := b.stateOf(server)
-	st.coldUntil = now.Add(server.Cold)
+	st.coldUntil = now.Add(server.ColdLeft)
 }
 
 // AssumeCold treats a server as cold until the given time, or until SetCold is called.
@@ -144,13 +144,13 @@
 // the requests in flight since their ends are still to be recorded.
 func (b *Balancer) stateOf(server fleet.Server) *serverState {
 	st := b.servers[server.ID]
-	if st == nil || st.born != server.Born {
+	if st == nil || st.born != server.StartMillis {
 		inFlight := 0
 		var startTimes []time.Time
 		if st != nil {
 			inFlight, startTimes = st.inFlight, st.startTimes
 		}
-		st = &serverState{slowdown: 1, born: server.Born, inFlight: inFlight, startTimes: startTimes}
+		st = &serverState{slowdown: 1, born: server.StartMillis, inFlight: inFlight, startTimes: startTimes}
 		b.servers[server.ID] = st
 	}
 	return st
--- a/core/version/grant/change.go
+++ b/core/version/grant/change.go
@@ -6,39 +6,39 @@
 	"sort"
 )
 
-// Change is what differs between two tables of one epoch: a large service has
-// hundreds of ranges, of which a move changes two, and tables go to every daemon.
+// Change is the difference between two tables of one epoch. It saves traffic: a large service
+// has hundreds of ranges, a move changes two of them, and every daemon gets every table.
 type Change struct {
-	// Base is the sequence of the table that the change is to be made to.
-	Base uint64 `json:"base"`
-	// Table holds the changed ranges only; fences are left out, since requests do
-	// not need them.
+	// BaseSeq is the sequence number of the table to which the change applies.
+	BaseSeq uint64 `json:"base"`
+	// Table holds only the changed ranges, without their fences, which daemons do not need to
+	// route requests.
 	Table
 }
 
-// Since returns what changed since an older table; false means that the whole
-// table is needed.
-func (t Table) Since(old Table) (Change, bool) {
-	if t.Epoch != old.Epoch || t.Leader != old.Leader || len(t.Shares) != len(old.Shares) {
+// ChangeSince returns the change from an older table to t; false means that the whole table is
+// needed.
+func (t Table) ChangeSince(old Table) (Change, bool) {
+	if t.Epoch != old.Epoch || t.Leader != old.Leader || len(t.Services) != len(old.Services) {
 		return Change{}, false
 	}
-	c := Change{Base: old.Seq, Table: t}
-	c.Shares = nil
-	for i, s := range t.Shares {
-		if s.Service != old.Shares[i].Service {
+	c := Change{BaseSeq: old.Seq, Table: t}
+	c.Services = nil
+	for i, s := range t.Services {
+		if s.Service != old.Services[i].Service {
 			return Change{}, false
 		}
-		if ranges := changed(s.Ranges, old.Shares[i].Ranges); len(ranges) > 0 {
-			c.Shares = append(c.Shares, Share{Service: s.Service, Ranges: ranges})
+		if ranges := changedRanges(s.Ranges, old.Services[i].Ranges); len(ranges) > 0 {
+			c.Services = append(c.Services, ServiceRanges{Service: s.Service, Ranges: ranges})
 		}
 	}
 	return c, true
 }
 
-// changed lists the ranges that are not among the old ones, fences apart.
-func changed(now, old []Range) []Range {
+// changedRanges returns the current ranges that differ from the old ones in more than the fence.
+func changedRanges(current, old []Range) []Range {
 	var out []Range
-	for _, r := range now {
+	for _, r := range current {
 		i := sort.Search(len(old), func(i int) bool { return old[i].From >= r.From })
 		if i < len(old) {
 			o := old[i]
@@ -53,24 +53,26 @@
 	return out
 }
 
-// With makes a change to a table; false means that it was made for another one.
-func (t Table) With(c Change) (Table, bool) {
-	if t.Epoch != c.Epoch || t.Seq != c.Base || t.Leader != c.Leader {
+// WithChange returns the table with a change applied; false means that the change was made for
+// another table.
+func (t Table) WithChange(c Change) (Table, bool) {
+	if t.Epoch != c.Epoch || t.Seq != c.BaseSeq || t.Leader != c.Leader {
 		return t, false
 	}
-	out := Table{Epoch: c.Epoch, Seq: c.Seq, Leader: c.Leader, Shares: slices.Clone(t.Shares)}
-	for _, s := range c.Shares {
-		i := slices.IndexFunc(out.Shares, func(o Share) bool { return o.Service == s.Service })
+	out := Table{Epoch: c.Epoch, Seq: c.Seq, Leader: c.Leader, Services: slices.Clone(t.Services)}
+	for _, s := range c.Services {
+		i := slices.IndexFunc(out.Services, func(o ServiceRanges) bool { return o.Service == s.Service })
 		if i < 0 {
 			return t, false
 		}
-		out.Shares[i].Ranges = overlaid(out.Shares[i].Ranges, s.Ranges)
+		out.Services[i].Ranges = replaceOverlapping(out.Services[i].Ranges, s.Ranges)
 	}
 	return out, true
 }
 
-// overlaid puts ranges in the place of all that they overlap with.
-func overlaid(old, changed []Range) []Range {
+// replaceOverlapping returns the old ranges with the changed ones in place of all that they
+// overlap.
+func replaceOverlapping(old, changed []Range) []Range {
 	out := slices.Clone(changed)
 	for _, o := range old {
 		i := sort.Search(len(changed), func(i int) bool { return changed[i].To >= o.From })
@@ -82,10 +84,10 @@
 	return out
 }
 
-// Marshal writes a change.
+// Marshal returns the wire form.
 func (c Change) Marshal() ([]byte, error) { return json.Marshal(c) }
 
-// UnmarshalChange reads a change.
+// UnmarshalChange decodes the wire form of a change.
 func UnmarshalChange(data []byte) (Change, error) {
 	var c Change
 	err := json.Unmarshal(data, &c)
--- a/core/version/grant/change_test.go
+++ b/core/version/grant/change_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// table draws a division of a few keys among a few servers.
-func table(t *rapid.T, seq uint64) Table {
+// drawTable draws a table in which all keys of a service are assigned to a few servers.
+func drawTable(t *rapid.T, seq uint64) Table {
 	var ranges []Range
 	for from := 0; from <= LastKey; {
 		to := min(LastKey, from+rapid.IntRange(1, 20000).Draw(t, "keys"))
@@ -21,16 +21,17 @@
 		ranges = append(ranges, r)
 		from = to + 1
 	}
-	return Table{Epoch: 3, Seq: seq, Leader: Leader{Daemon: "d"}, Shares: []Share{{Service: "k", Ranges: ranges}, {Service: "same", Ranges: []Range{{To: LastKey}}}}}
+	return Table{Epoch: 3, Seq: seq, Leader: Leader{Daemon: "d"}, Services: []ServiceRanges{{Service: "k", Ranges: ranges}, {Service: "same", Ranges: []Range{{To: LastKey}}}}}
 }
 
-// Guards against a daemon that sends keys elsewhere since it got a change and not the whole table.
-func TestChangeGivesTheSameTable(t *testing.T) {
+// Guards against a daemon routing keys differently because it received a change instead of the
+// whole table.
+func TestApplyingChangeYieldsNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, now := table(t, 4), table(t, 7)
-		c, ok := now.Since(old)
+		old, now := drawTable(t, 4), drawTable(t, 7)
+		c, ok := now.ChangeSince(old)
 		if !ok {
-			t.Fatal("a change within an epoch needs no whole table")
+			t.Fatal("no change between two tables of one epoch")
 		}
 		data, err := c.Marshal()
 		if err != nil {
@@ -39,35 +40,35 @@
 		if c, err = UnmarshalChange(data); err != nil {
 			t.Fatal(err)
 		}
-		got, ok := old.With(c)
+		got, ok := old.WithChange(c)
 		if !ok || !reflect.DeepEqual(got, now) {
-			t.Fatalf("from %+v\nby %+v\ncame %+v\nnot %+v", old, c, got, now)
+			t.Fatalf("applying to %+v\nthe change %+v\ngave %+v\nwant %+v", old, c, got, now)
 		}
 	})
 }
 
 func TestChangeOfAnotherTable(t *testing.T) {
-	old := Table{Epoch: 3, Seq: 4, Shares: []Share{{Service: "k"}}}
-	Convey("A change is made to the table that it was made for, and to no other", t, func() {
-		now := Table{Epoch: 3, Seq: 7, Shares: []Share{{Service: "k"}}}
-		c, ok := now.Since(old)
+	old := Table{Epoch: 3, Seq: 4, Services: []ServiceRanges{{Service: "k"}}}
+	Convey("A change applies to the table that it was made for, and to no other", t, func() {
+		now := Table{Epoch: 3, Seq: 7, Services: []ServiceRanges{{Service: "k"}}}
+		c, ok := now.ChangeSince(old)
 		So(ok, ShouldBeTrue)
 		for _, other := range []Table{{Epoch: 3, Seq: 5}, {Epoch: 2, Seq: 4}, {Epoch: 3, Seq: 4, Leader: Leader{Daemon: "x"}}} {
-			_, ok := other.With(c)
+			_, ok := other.WithChange(c)
 			So(ok, ShouldBeFalse)
 		}
 	})
 	Convey("Another epoch or another set of services needs the whole table", t, func() {
-		for _, now := range []Table{{Epoch: 4, Seq: 5, Shares: old.Shares}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Shares: []Share{{Service: "other"}}}} {
-			_, ok := now.Since(old)
+		for _, now := range []Table{{Epoch: 4, Seq: 5, Services: old.Services}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "other"}}}} {
+			_, ok := now.ChangeSince(old)
 			So(ok, ShouldBeFalse)
 		}
 	})
-	Convey("A fence that was raised is no change", t, func() {
-		a := Table{Epoch: 3, Seq: 4, Shares: []Share{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 1}}}}}
-		b := Table{Epoch: 3, Seq: 5, Shares: []Share{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 2}}}}}
-		c, ok := b.Since(a)
+	Convey("A range of which only the fence differs is not part of a change", t, func() {
+		a := Table{Epoch: 3, Seq: 4, Services: []ServiceRanges{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 1}}}}}
+		b := Table{Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "k", Ranges: []Range{{To: LastKey, Fence: 2}}}}}
+		c, ok := b.ChangeSince(a)
 		So(ok, ShouldBeTrue)
-		So(c.Shares, ShouldBeEmpty)
+		So(c.Services, ShouldBeEmpty)
 	})
 }
