--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -306,7 +306,7 @@
 	k.cmds = append(k.cmds, ResignCmd{Reason: reason})
 }
 
-func (k *Keeper) log(n LogCmd) { k.cmds = append(k.cmds, n) }
+func (k *Keeper) log(c LogCmd) { k.cmds = append(k.cmds, c) }
 
 // nextFence returns a fence above all earlier ones of this epoch and of older epochs.
 func (k *Keeper) nextFence() uint64 {
--- a/core/process/keeper/leadership_test.go
+++ b/core/process/keeper/leadership_test.go
@@ -237,7 +237,7 @@
 		So(h.grantsTo("b"), ShouldNotBeEmpty)
 		ends := 0
 		for _, c := range h.cmds {
-			if n, ok := c.(LogCmd); ok && n.Text == "server instance has ended" {
+			if entry, ok := c.(LogCmd); ok && entry.Text == "server instance has ended" {
 				ends++
 			}
 		}
--- a/core/process/keeper/load_test.go
+++ b/core/process/keeper/load_test.go
@@ -20,7 +20,7 @@
 type loadModel struct {
 	rng            *rand.Rand
 	requestRates   [Buckets]float64 // requests a second
-	requestSeconds float64          // slot seconds of a request at a server of usual speed
+	requestSeconds float64          // time of one request at a server of usual speed
 	meter          *rate.Meter
 	slowdowns      map[string]float64
 	slots          float64
@@ -28,7 +28,8 @@
 	coldRate float64
 }
 
-// newLoadModel distributes requests over the keys with a skew; adjacent buckets have equal rates.
+// newLoadModel distributes requests over the keys with a skew; adjacent buckets have similar
+// rates.
 func newLoadModel(servers int, perSecond, requestSeconds, skew float64) (*loadModel, []fleet.Server) {
 	l := &loadModel{rng: rand.New(rand.NewPCG(3, 9)), requestSeconds: requestSeconds, meter: rate.New(Buckets), slowdowns: map[string]float64{}, slots: 4}
 	total, weights := 0.0, [Buckets]float64{}
@@ -176,13 +177,13 @@
 			}
 		}
 		l.requestRates[hot] = 65
-		stays, _ := l.lostPerSecond(h.keeper.Table())
+		lostWithoutMove, _ := l.lostPerSecond(h.keeper.Table())
 		l.advance(h, 2*time.Second)
 		g, _ := h.keeper.Table().Owner(testService, hot*keysPerBucket)
 		So(l.slowdowns[g.Holder.Server], ShouldEqual, 0.6)
 		lost, _ := l.lostPerSecond(h.keeper.Table())
-		t.Logf("%.1f requests a second would be lost without the move, %.1f are lost now", stays, lost)
-		So(lost, ShouldBeLessThan, stays/2)
+		t.Logf("%.1f requests a second would be lost without the move, %.1f are lost now", lostWithoutMove, lost)
+		So(lost, ShouldBeLessThan, lostWithoutMove/2)
 	})
 }
 
--- a/core/process/keeper/moves_test.go
+++ b/core/process/keeper/moves_test.go
@@ -95,7 +95,7 @@
 			lost, even := l.lostPerSecond(h.keeper.Table())
 			So(lost, ShouldBeLessThan, even)
 			for _, c := range h.cmds {
-				if note, ok := c.(LogCmd); ok && note.Reason == "balance" {
+				if entry, ok := c.(LogCmd); ok && entry.Reason == "balance" {
 					n++
 				}
 			}
