--- a/io/process/router/heats.go
+++ b/io/process/router/heats.go
@@ -17,7 +17,7 @@
 	meter *rate.Meter
 	paces *pace.Estimator
 	// heard are reports of the servers' queues since the last window.
-	heard []keeper.Report
+	heard []keeper.QueueReport
 }
 
 // found is what daemons found of a server since they last reported.
@@ -53,7 +53,7 @@
 		f := foundOf(p)
 		h.paces.Add(p.Server, f.Sample)
 		if f.heard > 0 {
-			h.heard = append(h.heard, keeper.Report{Server: p.Server, Answers: f.heard, Full: f.full})
+			h.heard = append(h.heard, keeper.QueueReport{Server: p.Server, Answers: f.heard, LongQueues: f.full})
 		}
 	}
 }
@@ -67,8 +67,8 @@
 	var out []keeper.LoadMsg
 	for _, l := range h.meter.CloseWindow(now) {
 		service, _ := c.Service(l.Service)
-		out = append(out, keeper.LoadMsg{Service: l.Service, Work: l.BusySlots, Each: l.ServiceTime.Seconds(), Aim: l.TargetLatency,
-			Factors: factors, ColdRate: service.ColdRate, Reports: h.heard})
+		out = append(out, keeper.LoadMsg{Service: l.Service, BusySlots: l.BusySlots, RequestSeconds: l.ServiceTime.Seconds(), TargetLatency: l.TargetLatency,
+			Slowdowns: factors, ColdRate: service.ColdRate, Reports: h.heard})
 		h.heard = nil // they are for the holders of all services
 	}
 	return out
