--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -147,7 +147,7 @@
 }
 
 func (s *Server) start(nc net.Conn) {
-	if err := sock.Bound(nc, userTimeout); err != nil {
+	if err := sock.SetUserTimeout(nc, userTimeout); err != nil {
 		_ = nc.Close() // the caller has gone already
 		return
 	}
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -15,163 +15,168 @@
 )
 
 const (
-	// maxAnswer bounds an answer's body, in bytes: answers are read whole before
-	// a byte of them goes to the caller.
-	maxAnswer = 16 << 20
-	// writeApart is the body size, in bytes, from which it is written beside the
-	// reading, since a server may answer before it has read all of it.
-	writeApart = 16 << 10
-	// crossedAtMost is how many answers to other requests are skipped on one
-	// connection before it is given up.
-	crossedAtMost = 3
+	// maxResponseBody is the maximum size of a response body in bytes. A response is
+	// read completely before any of it is sent to the caller.
+	maxResponseBody = 16 << 20
+	// minConcurrentWrite is the size in bytes from which a request body is written
+	// concurrently with reading the response, since a server may respond before it has
+	// read the whole body.
+	minConcurrentWrite = 16 << 10
+	// maxStrayResponses is how many responses to other requests are skipped on a
+	// connection before it is closed.
+	maxStrayResponses = 3
 )
 
-// Request is one request to be written.
+// Request is a request to a server.
 type Request struct {
 	Method string
-	// Target is the path with its query, as the caller wrote it.
+	// Target is the path and query, exactly as the caller sent them.
 	Target string
 	Host   string
-	// Header goes out as it is, but for the names that the Link sets.
+	// Header is sent unchanged, except for the deadline and instance headers, which the
+	// Client sets.
 	Header http.Header
 	Body   []byte
-	// ID must come back with the answer, if the answer has one.
+	// ID is the request id. A response with another id belongs to another request.
 	ID string
-	// Left is what remains of the caller's time.
-	Left time.Duration
-	// Control calls carry no deadline of a caller.
-	Control bool
-	// KeptOnly sends on a kept connection or not at all, so that the request
-	// meets the same life of the server as the one before it.
-	KeptOnly bool
+	// TimeLeft is the time until the caller's deadline. It is sent to the server.
+	TimeLeft time.Duration
+	// ControlCall marks a call of the router itself, which carries no caller's deadline.
+	ControlCall bool
+	// ExistingConnOnly sends the request on an idle connection or not at all, so that it
+	// reaches the same process of the server as the previous request.
+	ExistingConnOnly bool
 }
 
-// Answer is a server's whole answer.
-type Answer struct {
+// Response is a server's complete response.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// NotRun means that the server says it did not run the request.
+	// NotRun means that the server states that it did not run the request.
 	NotRun bool
-	// Lost means that it cannot say whether a server before it did.
-	Lost bool
+	// OutcomeLost means that a previous server may have run the request and that its
+	// outcome is lost.
+	OutcomeLost bool
+	// Load is the load that the server reports, or nil.
 	Load *Load
-	// Server is the id of the server that was asked.
+	// Server is the id of the server instance that the request was sent to.
 	Server string
 }
 
-// Load is what an answer tells of its server.
+// Load is the load of a server, as reported with a response.
 type Load struct {
 	Running, Waiting, Slots int
-	// Bytes is the size of the answer's body.
+	// Bytes is the size of the response body.
 	Bytes int
-	// Pace is how long work takes at the server now, over the usual time; 0 where
-	// it does not say.
-	Pace float64
+	// Slowdown is the server's current processing time relative to the usual one; 0 if it
+	// is not reported.
+	Slowdown float64
 }
 
-// Do writes a request once and reads its whole answer. The context's end closes
-// the connection, which tells the server to stop.
-func (l *Link) Do(ctx context.Context, q Request) (*Answer, error) {
-	c, err := l.take(ctx, time.Now(), q.KeptOnly)
+// Do sends a request once and reads the complete response. If the context ends, the
+// connection is closed, which tells the server to stop.
+func (cl *Client) Do(ctx context.Context, req Request) (*Response, error) {
+	c, err := cl.getConn(ctx, time.Now(), req.ExistingConnOnly)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	a, keep, err := l.exchange(c, q)
+	resp, idleTime, err := cl.roundTrip(c, req)
 	stopped := stop()
 	if err != nil {
-		discard(c)
+		resetConn(c)
 		var e *Error
 		if errors.As(err, &e) {
-			e.Kept = c.kept
+			e.ReusedConn = c.reused
 		}
 		if ctx.Err() != nil && !NotRun(err) {
-			return nil, &Error{Op: "do", Kind: Late, Err: context.Cause(ctx)}
+			return nil, &Error{Op: "do", Kind: ContextDone, Err: context.Cause(ctx)}
 		}
 		return nil, err
 	}
-	if keep <= 0 || !stopped || c.r.Buffered() > 0 {
+	if idleTime <= 0 || !stopped || c.r.Buffered() > 0 {
 		_ = c.Close()
-		return a, nil
+		return resp, nil
 	}
-	c.until = time.Now().Add(keep)
-	l.put(c)
-	return a, nil
+	c.reusableUntil = time.Now().Add(idleTime)
+	cl.putIdleConn(c)
+	return resp, nil
 }
 
-func (l *Link) exchange(c *conn, q Request) (*Answer, time.Duration, error) {
-	head := l.head(q)
-	var written chan error
-	if len(q.Body) < writeApart {
-		if n, err := c.Write(append(head, q.Body...)); err != nil {
-			return nil, 0, unwritten(n, err)
+func (cl *Client) roundTrip(c *conn, req Request) (*Response, time.Duration, error) {
+	head := cl.head(req)
+	var writeDone chan error
+	if len(req.Body) < minConcurrentWrite {
+		if n, err := c.Write(append(head, req.Body...)); err != nil {
+			return nil, 0, writeError(n, err)
 		}
 	} else {
-		written = make(chan error, 1)
+		writeDone = make(chan error, 1)
 		go func() {
-			bufs := net.Buffers{head, q.Body}
-			_, err := bufs.WriteTo(c.Conn)
-			written <- err
+			buffers := net.Buffers{head, req.Body}
+			_, err := buffers.WriteTo(c.Conn)
+			writeDone <- err
 		}()
 	}
-	a, keep, err := l.read(c, q)
-	if written == nil || err != nil {
-		return a, keep, err
+	resp, idleTime, err := cl.readResponse(c, req)
+	if writeDone == nil || err != nil {
+		return resp, idleTime, err
 	}
 	select {
-	case werr := <-written:
-		if werr != nil {
-			keep = 0
+	case writeErr := <-writeDone:
+		if writeErr != nil {
+			idleTime = 0
 		}
 	default:
-		// The rest of the body is still due there: no other request may follow it.
-		keep = 0
+		// The body is still being written, so that no other request may use the connection.
+		idleTime = 0
 	}
-	return a, keep, nil
+	return resp, idleTime, nil
 }
 
-func unwritten(n int, err error) error {
+func writeError(n int, err error) error {
 	if n == 0 {
 		return &Error{Op: "write", Kind: NotSent, Err: err}
 	}
-	return &Error{Op: "write", Kind: Unsure, Err: err}
+	return &Error{Op: "write", Kind: ConnectionLost, Err: err}
 }
 
-// read returns the answer to the request, and how long the connection may be
-// kept. Answers that bear another id belong to requests that were given up.
-func (l *Link) read(c *conn, q Request) (*Answer, time.Duration, error) {
-	for range crossedAtMost {
-		resp, err := response(c.r, q.Method) //nolint:bodyclose // the connection is kept or closed whole
+// readResponse returns the response to the request and how long the connection may stay
+// idle. It skips responses with another id, which belong to abandoned requests.
+func (cl *Client) readResponse(c *conn, req Request) (*Response, time.Duration, error) {
+	for range maxStrayResponses {
+		httpResp, err := readFinalResponse(c.r, req.Method) //nolint:bodyclose // the connection is closed or reused as a whole
 		if err != nil {
-			return nil, 0, broken(err)
+			return nil, 0, readError(err)
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+		body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBody+1))
 		if err != nil {
-			return nil, 0, &Error{Op: "read", Kind: Cut, Err: err}
+			return nil, 0, &Error{Op: "read", Kind: InvalidResponse, Err: err}
 		}
-		if len(body) > maxAnswer {
-			return nil, 0, &Error{Op: "read", Kind: Cut, Err: fmt.Errorf("the answer has over %d bytes", maxAnswer)}
+		if len(body) > maxResponseBody {
+			return nil, 0, &Error{Op: "read", Kind: InvalidResponse, Err: fmt.Errorf("response body exceeds %d bytes", maxResponseBody)}
 		}
-		if id := resp.Header.Get(l.names.ID); id != "" && q.ID != "" && id != q.ID {
-			if resp.Close {
-				return nil, 0, &Error{Op: "read", Kind: Cut, Err: errors.New("the connection ended with another request's answer")}
+		if id := httpResp.Header.Get(cl.names.ID); id != "" && req.ID != "" && id != req.ID {
+			if httpResp.Close {
+				return nil, 0, &Error{Op: "read", Kind: InvalidResponse, Err: errors.New("connection closed after the response to another request")}
 			}
 			continue
 		}
-		a := &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body, Server: l.instance}
-		a.NotRun = resp.Header.Get(l.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest
-		a.Lost = l.names.Lost != "" && resp.Header.Get(l.names.Lost) != ""
-		if a.Load = parseLoad(resp.Header.Get(l.names.Load)); a.Load != nil {
-			a.Load.Bytes = len(body)
+		resp := &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body, Server: cl.instance}
+		resp.NotRun = httpResp.Header.Get(cl.names.NotRun) != "" || httpResp.StatusCode == http.StatusMisdirectedRequest
+		resp.OutcomeLost = cl.names.Lost != "" && httpResp.Header.Get(cl.names.Lost) != ""
+		if resp.Load = parseLoad(httpResp.Header.Get(cl.names.Load)); resp.Load != nil {
+			resp.Load.Bytes = len(body)
 		}
-		return a, keepFor(resp), nil
+		return resp, allowedIdleTime(httpResp), nil
 	}
-	return nil, 0, &Error{Op: "read", Kind: Cut, Err: errors.New("only answers to other requests came")}
+	return nil, 0, &Error{Op: "read", Kind: InvalidResponse, Err: errors.New("received only responses to other requests")}
 }
 
-// response skips interim answers.
-func response(r *bufio.Reader, method string) (*http.Response, error) {
+// readFinalResponse reads a response. It skips interim responses, which are 1xx other
+// than 101.
+func readFinalResponse(r *bufio.Reader, method string) (*http.Response, error) {
 	req := &http.Request{Method: method}
 	for {
 		resp, err := http.ReadResponse(r, req)
@@ -181,82 +186,82 @@
 	}
 }
 
-func broken(err error) error {
+func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &Error{Op: "read", Kind: Late, Err: err}
+		return &Error{Op: "read", Kind: ContextDone, Err: err}
 	}
-	var op *net.OpError
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op) {
-		return &Error{Op: "read", Kind: Unsure, Err: err}
+	var opErr *net.OpError
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &opErr) {
+		return &Error{Op: "read", Kind: ConnectionLost, Err: err}
 	}
-	return &Error{Op: "read", Kind: Cut, Err: err}
+	return &Error{Op: "read", Kind: InvalidResponse, Err: err}
 }
 
-// head writes the request's first lines.
-func (l *Link) head(q Request) []byte {
+// head returns the request line and the header fields.
+func (cl *Client) head(req Request) []byte {
 	var b strings.Builder
 	b.Grow(512)
-	b.WriteString(q.Method + " " + q.Target + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
-	for name, values := range q.Header {
-		if name == l.names.Deadline || name == l.names.Instance {
+	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
+	for name, values := range req.Header {
+		if name == cl.names.Deadline || name == cl.names.Instance {
 			continue
 		}
 		for _, v := range values {
 			b.WriteString(name + ": " + v + "\r\n")
 		}
 	}
-	if !q.Control {
-		b.WriteString(l.names.Deadline + ": " + strconv.FormatInt(max(1, q.Left.Milliseconds()), 10) + "\r\n")
+	if !req.ControlCall {
+		b.WriteString(cl.names.Deadline + ": " + strconv.FormatInt(max(1, req.TimeLeft.Milliseconds()), 10) + "\r\n")
 	}
-	b.WriteString(l.names.Instance + ": " + l.instance + "\r\n")
-	if len(q.Body) > 0 || q.Method != http.MethodGet && q.Method != http.MethodHead {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
+	b.WriteString(cl.names.Instance + ": " + cl.instance + "\r\n")
+	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
 	return []byte(b.String())
 }
 
-// discard ends a connection at once, so that bytes still on their way to the
-// server are dropped and cannot arrive later.
-func discard(c *conn) {
+// resetConn closes a connection with a reset, so that data not yet sent is discarded and
+// cannot reach the server later.
+func resetConn(c *conn) {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// parseLoad reads running, waiting and slots, and the pace in percent where the
-// server adds it; nil when there is no such report.
-func parseLoad(s string) *Load {
-	parts := strings.Split(s, ",")
+// parseLoad parses the load header: the numbers of running and waiting requests and of
+// slots, and optionally the slowdown in percent. It returns nil if the header is malformed.
+func parseLoad(header string) *Load {
+	parts := strings.Split(header, ",")
 	if len(parts) < 3 {
 		return nil
 	}
-	var n [3]int
-	for i := range n {
+	var counts [3]int
+	for i := range counts {
 		v, err := strconv.Atoi(strings.TrimSpace(parts[i]))
 		if err != nil || v < 0 {
 			return nil
 		}
-		n[i] = v
+		counts[i] = v
 	}
-	l := &Load{Running: n[0], Waiting: n[1], Slots: n[2]}
-	if len(parts) > len(n) {
-		if pace, err := strconv.ParseFloat(strings.TrimSpace(parts[len(n)]), 64); err == nil && pace > 0 {
-			l.Pace = pace / 100
+	l := &Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
+	if len(parts) > len(counts) {
+		if percent, err := strconv.ParseFloat(strings.TrimSpace(parts[len(counts)]), 64); err == nil && percent > 0 {
+			l.Slowdown = percent / 100
 		}
 	}
 	return l
 }
 
-func keepAliveTimeout(s string) (time.Duration, bool) {
-	for _, part := range strings.Split(s, ",") {
+func keepAliveTimeout(header string) (time.Duration, bool) {
+	for _, part := range strings.Split(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		n, err := strconv.Atoi(strings.TrimSpace(value))
-		return time.Duration(n) * time.Second, err == nil
+		seconds, err := strconv.Atoi(strings.TrimSpace(value))
+		return time.Duration(seconds) * time.Second, err == nil
 	}
 	return 0, false
 }
--- a/io/connection/link/doc.go
+++ b/io/connection/link/doc.go
@@ -1,16 +1,18 @@
-// Package link sends requests to one life of a backend server over kept
-// connections, one request at a time on each, and tells what became of them:
-// answered whole, refused unrun, surely not sent, or unknown.
+// Package link is an HTTP/1.1 client for one instance of a backend server. It
+// reuses connections, with one request at a time on each, and reports the outcome
+// of a request: a complete response, proof that the server did not run the
+// request, or an unknown outcome.
 //
-// It writes and reads HTTP/1.1 itself. The standard transport sends a request
-// again by its own judgement and hides whether bytes left the host; here a
-// request is written at most once, whatever happens.
+// The package does not use http.Transport, which retries some requests on its own
+// and does not report whether any bytes were sent. Here a request is written at
+// most once.
 //
 // # Usage
 //
-//	l := link.New("10.0.0.9:8080", "server-1", names.Default(), 5)
-//	answer, err := l.Do(ctx, link.Request{...})
-//	defer l.Close()
+//	client := link.New("10.0.0.9:8080", "server-1", names.Default(), 5)
+//	defer client.Close()
+//	resp, err := client.Do(ctx, link.Request{...})
 //
-// Errors are of type *Error. Kinds Refused, NoWay and NotSent prove that nothing ran.
+// Errors are of type *Error. The kinds ConnectionRefused, ConnectFailed and NotSent
+// prove that the server did not run the request.
 package link
--- a/io/connection/link/error.go
+++ b/io/connection/link/error.go
@@ -6,17 +6,17 @@
 	"syscall"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Refused Kind = "refused" // the address refuses connections
-	NotSent Kind = "notSent" // no byte of the request was written
-	NoWay   Kind = "noWay"   // no connection could be made in time
-	Unsure  Kind = "unsure"  // written, and no answer came
-	Cut     Kind = "cut"     // the answer broke off or is no HTTP
-	Late    Kind = "late"    // written, and the time was over before an answer
+	ConnectionRefused Kind = "refused" // nothing accepts connections at the address
+	NotSent           Kind = "notSent" // no byte of the request was written
+	ConnectFailed     Kind = "noWay"   // no connection could be established in time
+	ConnectionLost    Kind = "unsure"  // the connection broke before the response header was complete
+	InvalidResponse   Kind = "cut"     // the response is incomplete, malformed, too large or not to this request
+	ContextDone       Kind = "late"    // the context ended before the response was complete
 )
 
 // Error is the error type of this package.
@@ -24,14 +24,14 @@
 	Op   string
 	Kind Kind
 	Err  error
-	// Kept means that the connection had been kept from an earlier request.
-	Kept bool
+	// ReusedConn means that the connection had served an earlier request.
+	ReusedConn bool
 }
 
 // Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("link: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.Err }
 
 // KindOf returns the kind of an error of this package, or "".
@@ -43,15 +43,16 @@
 	return ""
 }
 
-// ResetNew tells whether a server reset a connection that was new, as full ones do. A
-// kept one it may just have forgotten.
-func ResetNew(err error) bool {
+// ResetOnNewConn reports whether the server reset a connection on its first request, as
+// servers do that are full. On a reused connection, a reset may only mean that the server
+// has dropped the idle connection.
+func ResetOnNewConn(err error) bool {
 	var e *Error
-	return errors.As(err, &e) && !e.Kept && errors.Is(err, syscall.ECONNRESET)
+	return errors.As(err, &e) && !e.ReusedConn && errors.Is(err, syscall.ECONNRESET)
 }
 
-// NotRun tells whether an error proves that the request did not run.
+// NotRun reports whether an error proves that the server did not run the request.
 func NotRun(err error) bool {
 	k := KindOf(err)
-	return k == Refused || k == NotSent || k == NoWay
+	return k == ConnectionRefused || k == NotSent || k == ConnectFailed
 }
--- a/io/connection/link/link.go
+++ b/io/connection/link/link.go
@@ -16,116 +16,120 @@
 )
 
 const (
-	// dialTimeout is far above the millisecond that a connection takes; a host
-	// without power answers nothing at all.
+	// dialTimeout bounds the attempt to connect to a host that is down and sends no
+	// reply at all. Connecting normally takes about a millisecond.
 	dialTimeout = 300 * time.Millisecond
-	// keepAtMost is how long an unused connection is kept when the server names
-	// no time: below the ten seconds that servers were seen to keep it.
-	keepAtMost = 4 * time.Second
-	// keepMargin is taken off the time that a server names, since it counts from
-	// another moment: a request must not cross its close.
-	keepMargin = time.Second
-	// userTimeout ends a connection whose bytes are not acknowledged, as after a
-	// cut: the system's own retransmissions would go on for minutes.
-	userTimeout = 1500 * time.Millisecond
-	bufferBytes = 2048
+	// maxIdleTime is the maximum time that a connection stays idle before it is no longer
+	// reused. Servers were observed to close idle connections after ten seconds.
+	maxIdleTime = 4 * time.Second
+	// idleTimeMargin is subtracted from the idle timeout that a server announces. The
+	// server starts its timer at another moment, and a request must not be sent while
+	// the server closes the connection.
+	idleTimeMargin = time.Second
+	// tcpUserTimeout closes a connection whose data is not acknowledged, as in a network
+	// partition. By default, the kernel would retransmit for minutes.
+	tcpUserTimeout = 1500 * time.Millisecond
+	readBufferSize = 2048
 )
 
-// Link is the way to one life of a server. It is safe for concurrent use.
-type Link struct {
+// Client sends requests to one instance of a server and pools its connections. It is
+// safe for concurrent use.
+type Client struct {
 	address  string
 	instance string
 	names    names.Names
-	most     int
+	maxIdle  int
 
-	mu     sync.Mutex
-	idle   []*conn
-	closed bool
+	mu        sync.Mutex
+	idleConns []*conn
+	closed    bool
 }
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	until time.Time // when it must no longer be used
-	kept  bool      // it has served a request before
+	r             *bufio.Reader
+	reusableUntil time.Time
+	reused        bool // it served an earlier request
 }
 
-// New returns a Link to a server's address that keeps so many idle connections.
-func New(address, instance string, n names.Names, most int) *Link {
-	return &Link{address: address, instance: instance, names: n, most: most}
+// New returns a Client for the server instance at an address. It keeps up to maxIdle idle
+// connections.
+func New(address, instance string, n names.Names, maxIdle int) *Client {
+	return &Client{address: address, instance: instance, names: n, maxIdle: maxIdle}
 }
 
-// Close ends the idle connections; those in use end with their requests.
-func (l *Link) Close() {
-	l.mu.Lock()
-	idle := l.idle
-	l.idle, l.closed = nil, true
-	l.mu.Unlock()
-	for _, c := range idle {
+// Close closes the idle connections. Those in use are closed after their requests.
+func (cl *Client) Close() {
+	cl.mu.Lock()
+	idleConns := cl.idleConns
+	cl.idleConns, cl.closed = nil, true
+	cl.mu.Unlock()
+	for _, c := range idleConns {
 		_ = c.Close()
 	}
 }
 
-// take returns a kept connection that is still open and quiet, or a new one.
-func (l *Link) take(ctx context.Context, now time.Time, keptOnly bool) (*conn, error) {
+// getConn returns an idle connection that is still usable, or else a new one unless
+// existingConnOnly is set.
+func (cl *Client) getConn(ctx context.Context, now time.Time, existingConnOnly bool) (*conn, error) {
 	for {
-		c := l.pop()
-		if c == nil && keptOnly {
-			return nil, &Error{Op: "take", Kind: NotSent, Err: errNoneKept}
+		c := cl.popIdleConn()
+		if c == nil && existingConnOnly {
+			return nil, &Error{Op: "take", Kind: NotSent, Err: errNoIdleConn}
 		}
 		if c == nil {
-			return l.dial(ctx)
+			return cl.dial(ctx)
 		}
-		if now.Before(c.until) && quiet(c) {
-			c.kept = true
+		if now.Before(c.reusableUntil) && nothingReceived(c) {
+			c.reused = true
 			return c, nil
 		}
 		_ = c.Close()
 	}
 }
 
-var errNoneKept = errors.New("no connection was kept")
+var errNoIdleConn = errors.New("no idle connection")
 
-func (l *Link) pop() *conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.idle)
+func (cl *Client) popIdleConn() *conn {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	n := len(cl.idleConns)
 	if n == 0 {
 		return nil
 	}
-	c := l.idle[n-1]
-	l.idle = l.idle[:n-1]
+	c := cl.idleConns[n-1]
+	cl.idleConns = cl.idleConns[:n-1]
 	return c
 }
 
-func (l *Link) put(c *conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed || len(l.idle) >= l.most {
+func (cl *Client) putIdleConn(c *conn) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if cl.closed || len(cl.idleConns) >= cl.maxIdle {
 		_ = c.Close()
 		return
 	}
-	l.idle = append(l.idle, c)
+	cl.idleConns = append(cl.idleConns, c)
 }
 
-func (l *Link) dial(ctx context.Context) (*conn, error) {
+func (cl *Client) dial(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	d := net.Dialer{Control: sock.Control(userTimeout), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 2}}
-	nc, err := d.DialContext(ctx, "tcp", l.address)
+	d := net.Dialer{Control: sock.Control(tcpUserTimeout), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 2}}
+	nc, err := d.DialContext(ctx, "tcp", cl.address)
 	if err != nil {
-		kind := NoWay
+		kind := ConnectFailed
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			kind = Refused
+			kind = ConnectionRefused
 		}
 		return nil, &Error{Op: "dial", Kind: kind, Err: err}
 	}
-	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, bufferBytes)}, nil
+	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, readBufferSize)}, nil
 }
 
-// quiet tells whether nothing has come on a kept connection: neither its end
-// nor bytes that belong to no request.
-func quiet(c *conn) bool {
+// nothingReceived reports whether the server has neither closed an idle connection nor
+// sent bytes on it, which would belong to no request.
+func nothingReceived(c *conn) bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -137,23 +141,23 @@
 	if err != nil {
 		return false
 	}
-	still := false
+	wouldBlock := false
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		still = errors.Is(err, syscall.EAGAIN)
+		wouldBlock = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && still
+	return err == nil && wouldBlock
 }
 
-// keepFor reads how long the server keeps the connection after an answer.
-func keepFor(resp *http.Response) time.Duration {
+// allowedIdleTime returns how long the connection may stay idle after a response.
+func allowedIdleTime(resp *http.Response) time.Duration {
 	if resp.Close {
 		return 0
 	}
-	if s, ok := keepAliveTimeout(resp.Header.Get("Keep-Alive")); ok {
-		return min(keepAtMost, s-keepMargin)
+	if timeout, ok := keepAliveTimeout(resp.Header.Get("Keep-Alive")); ok {
+		return min(maxIdleTime, timeout-idleTimeMargin)
 	}
-	return keepAtMost
+	return maxIdleTime
 }
--- a/io/connection/link/link_test.go
+++ b/io/connection/link/link_test.go
@@ -17,22 +17,22 @@
 	"catkinstep/core/connection/names"
 )
 
-// script is a server that answers the nth request of a connection by the nth
-// part of a script, byte for byte, and counts requests and connections.
-type script struct {
+// scriptedServer responds to its nth request with the nth responder, and to all further
+// ones with the last. It counts requests and connections.
+type scriptedServer struct {
 	net.Listener
 	requests, conns atomic.Int32
 }
 
-// act writes an answer; false ends the connection.
-type act func(c net.Conn, r *http.Request) bool
+// responder writes a response. It returns false to close the connection.
+type responder func(c net.Conn, r *http.Request) bool
 
-func serve(t *testing.T, acts ...act) *script {
+func startServer(t *testing.T, responders ...responder) *scriptedServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{Listener: l}
+	s := &scriptedServer{Listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -41,14 +41,14 @@
 				return
 			}
 			s.conns.Add(1)
-			go s.play(c, acts)
+			go s.serveConn(c, responders)
 		}
 	}()
 	return s
 }
 
-func (s *script) play(c net.Conn, acts []act) {
-	defer c.Close() //nolint:errcheck // a stand-in
+func (s *scriptedServer) serveConn(c net.Conn, responders []responder) {
+	defer c.Close() //nolint:errcheck // test cleanup
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -56,14 +56,14 @@
 			return
 		}
 		n := int(s.requests.Add(1)) - 1
-		if !acts[min(n, len(acts)-1)](c, req) {
+		if !responders[min(n, len(responders)-1)](c, req) {
 			return
 		}
 	}
 }
 
-// raw answers by a text in which ID stands for the request's id.
-func raw(text string) act {
+// respondWith returns a responder that writes a text, with ID replaced by the request's id.
+func respondWith(text string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(names.Default().ID)))
@@ -71,40 +71,42 @@
 	}
 }
 
-func last(a act) act {
-	return func(c net.Conn, r *http.Request) bool { a(c, r); return false }
+func thenClose(respond responder) responder {
+	return func(c net.Conn, r *http.Request) bool { respond(c, r); return false }
 }
 
-func reset(c net.Conn, _ *http.Request) bool {
+func resetConnection(c net.Conn, _ *http.Request) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-const whole = "HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\nContent-Length: 2\r\n\r\nok"
+const completeResponse = "HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\nContent-Length: 2\r\n\r\nok"
 
-func (s *script) link() *Link { return New(s.Addr().String(), "server-1", names.Default(), 2) }
+func (s *scriptedServer) newClient() *Client {
+	return New(s.Addr().String(), "server-1", names.Default(), 2)
+}
 
-func ask(l *Link, id string) (*Answer, error) {
-	return l.Do(context.Background(), Request{Method: http.MethodGet, Target: "/x?y=1", Host: "h.example", ID: id, Left: 500 * time.Millisecond,
+func do(client *Client, id string) (*Response, error) {
+	return client.Do(context.Background(), Request{Method: http.MethodGet, Target: "/x?y=1", Host: "h.example", ID: id, TimeLeft: 500 * time.Millisecond,
 		Header: http.Header{names.Default().ID: {id}}})
 }
 
-func TestWholeAnswers(t *testing.T) {
-	Convey("An answer comes back as it was, and the connection is used again", t, func() {
-		s := serve(t, raw(whole))
-		l := s.link()
+func TestCompleteResponses(t *testing.T) {
+	Convey("A response is returned unchanged, and the connection is reused", t, func() {
+		s := startServer(t, respondWith(completeResponse))
+		client := s.newClient()
 		for i := range 3 {
-			a, err := ask(l, fmt.Sprint("id", i))
+			a, err := do(client, fmt.Sprint("id", i))
 			So(err, ShouldBeNil)
 			So(a.Status, ShouldEqual, 200)
 			So(string(a.Body), ShouldEqual, "ok")
 		}
 		So(s.conns.Load(), ShouldEqual, 1)
 	})
-	Convey("The request carries its deadline and the server's name, and no others", t, func() {
+	Convey("The deadline and instance headers are set by the client and replace those of the caller", t, func() {
 		var seen *http.Request
-		s := serve(t, func(c net.Conn, r *http.Request) bool { seen = r; return raw(whole)(c, r) })
-		_, err := s.link().Do(context.Background(), Request{Method: http.MethodGet, Target: "/a%2Fb?c", Host: "h.example", ID: "1", Left: 1500 * time.Millisecond,
+		s := startServer(t, func(c net.Conn, r *http.Request) bool { seen = r; return respondWith(completeResponse)(c, r) })
+		_, err := s.newClient().Do(context.Background(), Request{Method: http.MethodGet, Target: "/a%2Fb?c", Host: "h.example", ID: "1", TimeLeft: 1500 * time.Millisecond,
 			Header: http.Header{names.Default().ID: {"1"}, names.Default().Deadline: {"99999"}}})
 		So(err, ShouldBeNil)
 		So(seen.RequestURI, ShouldEqual, "/a%2Fb?c")
@@ -112,131 +114,131 @@
 		So(seen.Header.Values(names.Default().Deadline), ShouldResemble, []string{"1500"})
 		So(seen.Header.Get(names.Default().Instance), ShouldEqual, "server-1")
 	})
-	Convey("A body without length ends with its connection", t, func() {
-		s := serve(t, last(raw("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\n\r\nto the end")))
-		a, err := ask(s.link(), "1")
+	Convey("A body without a length ends when the connection is closed", t, func() {
+		s := startServer(t, thenClose(respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\n\r\nto the end")))
+		a, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
 		So(string(a.Body), ShouldEqual, "to the end")
 	})
-	Convey("Interim answers are skipped", t, func() {
-		s := serve(t, raw("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+whole))
-		a, err := ask(s.link(), "1")
+	Convey("Interim responses are skipped", t, func() {
+		s := startServer(t, respondWith("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+completeResponse))
+		a, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
 		So(a.Status, ShouldEqual, 200)
 	})
-	Convey("A refusal marked as not run is recognised", t, func() {
-		s := serve(t, raw("HTTP/1.1 503 No\r\nCatkinstep-Request-Id: ID\r\nCatkinstep-Not-Run: 1\r\nCatkinstep-Load: 3,2,3,100\r\nContent-Length: 0\r\n\r\n"))
-		a, err := ask(s.link(), "1")
+	Convey("A refusal marked as not run is recognised, and the load is parsed", t, func() {
+		s := startServer(t, respondWith("HTTP/1.1 503 No\r\nCatkinstep-Request-Id: ID\r\nCatkinstep-Not-Run: 1\r\nCatkinstep-Load: 3,2,3,100\r\nContent-Length: 0\r\n\r\n"))
+		a, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
 		So(a.NotRun, ShouldBeTrue)
 		So(a.Load.Waiting, ShouldEqual, 2)
 	})
 }
 
-// Guards against anything but the whole answer to a caller's own request.
-func TestOddAnswers(t *testing.T) {
-	Convey("Half an answer is none", t, func() {
-		s := serve(t, last(raw("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\nContent-Length: 100\r\n\r\nhalf")))
-		_, err := ask(s.link(), "1")
-		So(KindOf(err), ShouldEqual, Cut)
+// Guards against returning an incomplete response or one to another request.
+func TestInvalidResponses(t *testing.T) {
+	Convey("A response with an incomplete body is an error", t, func() {
+		s := startServer(t, thenClose(respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\nContent-Length: 100\r\n\r\nhalf")))
+		_, err := do(s.newClient(), "1")
+		So(KindOf(err), ShouldEqual, InvalidResponse)
 	})
-	Convey("A body without length that is reset is not complete", t, func() {
-		s := serve(t, func(c net.Conn, r *http.Request) bool {
-			raw("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\n\r\nhalf of it")(c, r)
+	Convey("A body without a length is incomplete if the connection is reset", t, func() {
+		s := startServer(t, func(c net.Conn, r *http.Request) bool {
+			respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\n\r\nhalf of it")(c, r)
 			time.Sleep(50 * time.Millisecond)
-			return reset(c, r)
+			return resetConnection(c, r)
 		})
-		_, err := ask(s.link(), "1")
-		So(KindOf(err), ShouldEqual, Cut)
+		_, err := do(s.newClient(), "1")
+		So(KindOf(err), ShouldEqual, InvalidResponse)
 	})
-	Convey("Bytes that are no answer are an error", t, func() {
-		s := serve(t, last(raw("what is this\r\n\r\n")))
-		_, err := ask(s.link(), "1")
+	Convey("A malformed response is an error and does not prove that the request did not run", t, func() {
+		s := startServer(t, thenClose(respondWith("what is this\r\n\r\n")))
+		_, err := do(s.newClient(), "1")
 		So(err, ShouldNotBeNil)
 		So(NotRun(err), ShouldBeFalse)
 	})
-	Convey("A second answer that came with the first is never the next one's", t, func() {
-		s := serve(t, raw(whole+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"), raw(whole))
-		l := s.link()
-		_, err := ask(l, "1")
+	Convey("A surplus response that follows the first is not returned to the next request", t, func() {
+		s := startServer(t, respondWith(completeResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"), respondWith(completeResponse))
+		client := s.newClient()
+		_, err := do(client, "1")
 		So(err, ShouldBeNil)
-		a, err := ask(l, "2")
+		a, err := do(client, "2")
 		So(err, ShouldBeNil)
 		So(string(a.Body), ShouldEqual, "ok")
 		So(s.conns.Load(), ShouldEqual, 2)
 	})
-	Convey("A late answer to another request is skipped by its id", t, func() {
-		s := serve(t, raw("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: someone\r\nContent-Length: 5\r\n\r\nother"+whole))
-		a, err := ask(s.link(), "1")
+	Convey("A response with the id of another request is skipped", t, func() {
+		s := startServer(t, respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: someone\r\nContent-Length: 5\r\n\r\nother"+completeResponse))
+		a, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
 		So(string(a.Body), ShouldEqual, "ok")
 	})
-	Convey("An answer before a long body is read does not leave the connection to others", t, func() {
+	Convey("A connection is not reused if the response comes before a long request body is written", t, func() {
 		early := func(c net.Conn, _ *http.Request) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 413 No\r\nCatkinstep-Request-Id: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(200 * time.Millisecond)
 			return false
 		}
-		s := serve(t, early, raw(whole))
-		l := s.link()
-		a, err := l.Do(context.Background(), Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "1", Left: time.Second, Body: make([]byte, 8<<20)})
+		s := startServer(t, early, respondWith(completeResponse))
+		client := s.newClient()
+		a, err := client.Do(context.Background(), Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "1", TimeLeft: time.Second, Body: make([]byte, 8<<20)})
 		So(err, ShouldBeNil)
 		So(a.Status, ShouldEqual, 413)
-		So(l.idle, ShouldBeEmpty)
+		So(client.idleConns, ShouldBeEmpty)
 	})
 }
 
-// Guards against a booking that a lower layer sends again.
-func TestNothingIsSentTwice(t *testing.T) {
-	Convey("A kept connection that breaks under a request leaves its outcome unknown", t, func() {
-		s := serve(t, raw(whole), reset)
-		l := s.link()
-		_, err := ask(l, "1")
+// Guards against sending a request twice, which could book twice.
+func TestRequestIsWrittenOnce(t *testing.T) {
+	Convey("If a reused connection breaks during a request, its outcome is unknown", t, func() {
+		s := startServer(t, respondWith(completeResponse), resetConnection)
+		client := s.newClient()
+		_, err := do(client, "1")
 		So(err, ShouldBeNil)
-		_, err = ask(l, "2")
-		So(KindOf(err), ShouldEqual, Unsure)
-		So(ResetNew(err), ShouldBeFalse)
+		_, err = do(client, "2")
+		So(KindOf(err), ShouldEqual, ConnectionLost)
+		So(ResetOnNewConn(err), ShouldBeFalse)
 		So(s.requests.Load(), ShouldEqual, 2)
 	})
-	Convey("A kept connection that was closed meanwhile is noticed before anything is written", t, func() {
-		s := serve(t, last(raw(whole)), raw(whole))
-		l := s.link()
-		_, err := ask(l, "1")
+	Convey("An idle connection that the server has closed is detected before anything is written", t, func() {
+		s := startServer(t, thenClose(respondWith(completeResponse)), respondWith(completeResponse))
+		client := s.newClient()
+		_, err := do(client, "1")
 		So(err, ShouldBeNil)
 		time.Sleep(20 * time.Millisecond)
-		_, err = ask(l, "2")
+		_, err = do(client, "2")
 		So(err, ShouldBeNil)
 		So(s.requests.Load(), ShouldEqual, 2)
 	})
-	Convey("A refused connection proves that nothing was sent", t, func() {
+	Convey("A refused connection proves that the request did not run", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		So(l.Close(), ShouldBeNil)
-		_, err = ask(New(l.Addr().String(), "x", names.Default(), 1), "1")
-		So(KindOf(err), ShouldEqual, Refused)
+		_, err = do(New(l.Addr().String(), "x", names.Default(), 1), "1")
+		So(KindOf(err), ShouldEqual, ConnectionRefused)
 		So(NotRun(err), ShouldBeTrue)
 	})
-	Convey("Only on a kept connection: without one nothing is sent", t, func() {
-		s := serve(t, raw(whole))
-		_, err := s.link().Do(context.Background(), Request{Method: http.MethodGet, Target: "/", Host: "h", ID: "1", KeptOnly: true})
+	Convey("With ExistingConnOnly, nothing is sent without an idle connection", t, func() {
+		s := startServer(t, respondWith(completeResponse))
+		_, err := s.newClient().Do(context.Background(), Request{Method: http.MethodGet, Target: "/", Host: "h", ID: "1", ExistingConnOnly: true})
 		So(KindOf(err), ShouldEqual, NotSent)
 		So(s.conns.Load(), ShouldEqual, 0)
 	})
 }
 
-// Guards against a server that works on for a caller who has left.
-func TestCancelReachesTheServer(t *testing.T) {
-	Convey("The context's end closes the connection", t, func() {
+// Guards against a server that continues to run a request after its caller has disconnected.
+func TestCancelClosesConnection(t *testing.T) {
+	Convey("The connection is closed when the context ends", t, func() {
 		closed := make(chan struct{})
-		s := serve(t, func(c net.Conn, _ *http.Request) bool {
+		s := startServer(t, func(c net.Conn, _ *http.Request) bool {
 			_, _ = c.Read(make([]byte, 1))
 			close(closed)
 			return false
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, cancel)
-		_, err := s.link().Do(ctx, Request{Method: http.MethodGet, Target: "/", Host: "h", ID: "1", Left: time.Second})
-		So(KindOf(err), ShouldEqual, Late)
+		_, err := s.newClient().Do(ctx, Request{Method: http.MethodGet, Target: "/", Host: "h", ID: "1", TimeLeft: time.Second})
+		So(KindOf(err), ShouldEqual, ContextDone)
 		select {
 		case <-closed:
 		case <-time.After(2 * time.Second):
--- a/io/connection/sock/sock.go
+++ b/io/connection/sock/sock.go
@@ -1,12 +1,13 @@
-// Package sock bounds how long the system goes on sending on a connection whose
-// other end says nothing, as after a cut: left alone it would try for minutes.
+// Package sock sets the TCP user timeout: how long the kernel waits for sent data to be
+// acknowledged before it closes the connection. Without it, the kernel retransmits for
+// minutes, for example in a network partition.
 //
 // # Usage
 //
 //	d := net.Dialer{Control: sock.Control(1500 * time.Millisecond)}
-//	err := sock.Bound(conn, 5*time.Second) // of an accepted connection
+//	err := sock.SetUserTimeout(conn, 5*time.Second) // for an accepted connection
 //
-// Errors are the system's own.
+// Errors are those of the system calls.
 package sock
 
 import (
@@ -17,13 +18,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Control returns a function for net.Dialer that bounds new connections.
-func Control(unacknowledged time.Duration) func(network, address string, rc syscall.RawConn) error {
-	return func(_, _ string, rc syscall.RawConn) error { return set(rc, unacknowledged) }
+// Control returns a function for net.Dialer.Control that sets the TCP user timeout of new
+// connections.
+func Control(timeout time.Duration) func(network, address string, rc syscall.RawConn) error {
+	return func(_, _ string, rc syscall.RawConn) error { return setSocketOption(rc, timeout) }
 }
 
-// Bound bounds a connection; one that has no socket is left as it is.
-func Bound(conn any, unacknowledged time.Duration) error {
+// SetUserTimeout sets the TCP user timeout of a connection. It does nothing if the
+// connection has no socket.
+func SetUserTimeout(conn any, timeout time.Duration) error {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
@@ -32,13 +35,13 @@
 	if err != nil {
 		return err
 	}
-	return set(rc, unacknowledged)
+	return setSocketOption(rc, timeout)
 }
 
-func set(rc syscall.RawConn, d time.Duration) error {
-	var failed error
+func setSocketOption(rc syscall.RawConn, timeout time.Duration) error {
+	var optionErr error
 	err := rc.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optionErr)
 }
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -78,7 +78,7 @@
 }
 
 // Result sorts the answer to either call.
-func (Protocol) Result(a *link.Answer) (r grant.Result, handover string) {
+func (Protocol) Result(a *link.Response) (r grant.Result, handover string) {
 	switch {
 	case a.Status == http.StatusOK:
 		return grant.Done, a.Header.Get(names.Default().Handover)
@@ -94,7 +94,7 @@
 
 func post(path, address string, k Keys) link.Request {
 	body, _ := json.Marshal(k) // numbers and a string always marshal
-	return link.Request{Method: http.MethodPost, Target: path, Host: address, Body: body, Control: true,
+	return link.Request{Method: http.MethodPost, Target: path, Host: address, Body: body, ControlCall: true,
 		Header: http.Header{"Content-Type": {"application/json"}}}
 }
 
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -51,7 +51,7 @@
 
 // failedAt leaves a server out of the next attempts, unless it may well answer the
 // next one: it declined with slots free, or it is the only one that holds the key.
-func (o *order) failedAt(v fleet.Server, a *link.Answer) {
+func (o *order) failedAt(v fleet.Server, a *link.Response) {
 	if o.key >= 0 || a != nil && declined(a) {
 		return
 	}
@@ -60,7 +60,7 @@
 
 // declined tells whether a server did not run a request although it says that it
 // has slots free: it may well run it if asked again at once.
-func declined(a *link.Answer) bool {
+func declined(a *link.Response) bool {
 	return a.NotRun && a.Status != http.StatusMisdirectedRequest && a.Load != nil && a.Load.Running < a.Load.Slots
 }
 
@@ -104,7 +104,7 @@
 
 // send makes one attempt. An idempotent request ends with its caller; another
 // goes on, since breaking it off would leave its outcome unknown for nothing.
-func (r *Router) send(ctx context.Context, o *order, v fleet.Server) (*link.Answer, error) {
+func (r *Router) send(ctx context.Context, o *order, v fleet.Server) (*link.Response, error) {
 	if !r.keepsIDs(o) {
 		return r.exchange(ctx, o, v)
 	}
@@ -114,7 +114,7 @@
 	return a, err
 }
 
-func (r *Router) exchange(ctx context.Context, o *order, v fleet.Server) (*link.Answer, error) {
+func (r *Router) exchange(ctx context.Context, o *order, v fleet.Server) (*link.Response, error) {
 	if !o.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -122,7 +122,7 @@
 	ctx, cancel := context.WithDeadline(ctx, o.deadline.Add(answerMargin))
 	defer cancel()
 	a, err := r.links.of(v).Do(ctx, link.Request{
-		Method: o.Method, Target: o.target, Host: o.Host, Header: r.forwarded(o), Body: o.Body, ID: o.id, Left: left,
+		Method: o.Method, Target: o.target, Host: o.Host, Header: r.forwarded(o), Body: o.Body, ID: o.id, TimeLeft: left,
 	})
 	now := time.Now()
 	r.mu.Lock()
@@ -131,22 +131,22 @@
 	return a, err
 }
 
-func report(a *link.Answer) *spread.Report {
+func report(a *link.Response) *spread.Report {
 	if a == nil || a.Load == nil {
 		return nil
 	}
-	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Slowdown: a.Load.Pace}
+	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Slowdown: a.Load.Slowdown}
 }
 
-func outcome(ctx context.Context, a *link.Answer, err error) spread.Outcome {
+func outcome(ctx context.Context, a *link.Response, err error) spread.Outcome {
 	switch {
-	case err != nil && link.KindOf(err) == link.Refused:
+	case err != nil && link.KindOf(err) == link.ConnectionRefused:
 		return spread.ConnectionRefused
-	case err != nil && link.KindOf(err) == link.NoWay && ctx.Err() == nil:
+	case err != nil && link.KindOf(err) == link.ConnectFailed && ctx.Err() == nil:
 		return spread.ConnectFailed
 	case err != nil && errors.Is(context.Cause(ctx), context.Canceled):
 		return spread.Cancelled
-	case err != nil && link.ResetNew(err):
+	case err != nil && link.ResetOnNewConn(err):
 		return spread.ConnectionReset
 	case err != nil:
 		return spread.Failed
@@ -159,13 +159,13 @@
 }
 
 // judge decides what an attempt's end means for the caller.
-func (r *Router) judge(ctx context.Context, o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error) (caller.Reply, bool) {
+func (r *Router) judge(ctx context.Context, o *order, v fleet.Server, c spread.Choice, a *link.Response, err error) (caller.Reply, bool) {
 	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
-	if link.KindOf(err) == link.Unsure {
+	if link.KindOf(err) == link.ConnectionLost {
 		r.lost(o, v.ID)
 	}
 	switch {
-	case err == nil && a.Lost:
+	case err == nil && a.OutcomeLost:
 		return r.outcomeLost(o, v.ID), false
 	case err == nil && !a.NotRun && r.isAnswer(a):
 		r.answered(o)
@@ -193,7 +193,7 @@
 }
 
 // isAnswer tells a server's own answer from what something else wrote.
-func (r *Router) isAnswer(a *link.Answer) bool {
+func (r *Router) isAnswer(a *link.Response) bool {
 	return a.Status >= http.StatusMultipleChoices || a.Header.Get(r.protocol.Names().Signature) != ""
 }
 
@@ -208,7 +208,7 @@
 		Crashes: r.crashes(o), Most: o.route.MaxAttempts, Left: time.Until(o.deadline), Least: r.leastWorth(o)}
 }
 
-func (r *Router) logAttempt(o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error, then string) {
+func (r *Router) logAttempt(o *order, v fleet.Server, c spread.Choice, a *link.Response, err error, then string) {
 	status := 0
 	if a != nil {
 		status = a.Status
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -39,7 +39,7 @@
 
 // comeBack is when a caller may return whose request the holder of its key did not
 // run: when the range has another holder, or the queue is shorter.
-func (r *Router) comeBack(o *order, v fleet.Server, a *link.Answer) time.Duration {
+func (r *Router) comeBack(o *order, v fleet.Server, a *link.Response) time.Duration {
 	g, _ := r.current.Load().table.Owner(o.service.Name, o.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -24,10 +24,10 @@
 // mute is a Protocol of nobody.
 type mute struct{}
 
-func (mute) Names() names.Names                         { return names.Default() }
-func (mute) Grant(grant.Call) link.Request              { return link.Request{} }
-func (mute) Release(grant.Call) link.Request            { return link.Request{} }
-func (mute) Result(*link.Answer) (grant.Result, string) { return grant.Unsure, "" }
+func (mute) Names() names.Names                           { return names.Default() }
+func (mute) Grant(grant.Call) link.Request                { return link.Request{} }
+func (mute) Release(grant.Call) link.Request              { return link.Request{} }
+func (mute) Result(*link.Response) (grant.Result, string) { return grant.Unsure, "" }
 
 func (mute) ID(http.Header) string                               { return "" }
 func (mute) Patience(http.Header) (time.Duration, bool)          { return 0, false }
@@ -138,7 +138,7 @@
 		So(l.Close(), ShouldBeNil)
 		r := still()
 		w := r.links.get(linkKey{address: l.Addr().String(), id: "a", use: forGrants})
-		got, _ := r.order(w, grant.Holder{Server: "a"}, link.Request{Method: "POST", Target: "/", Host: "a", Control: true}, time.Second)
+		got, _ := r.order(w, grant.Holder{Server: "a"}, link.Request{Method: "POST", Target: "/", Host: "a", ControlCall: true}, time.Second)
 		So(got, ShouldEqual, grant.NotSent)
 	})
 }
--- a/io/process/router/late.go
+++ b/io/process/router/late.go
@@ -19,7 +19,7 @@
 const slowPace = 1.5
 
 // noteLate logs an answer that came after its aim.
-func (r *Router) noteLate(o *order, c spread.Choice, a *link.Answer) {
+func (r *Router) noteLate(o *order, c spread.Choice, a *link.Response) {
 	took := time.Since(o.Read)
 	if took <= o.route.LatencyTarget {
 		return
@@ -31,7 +31,7 @@
 		load = *a.Load
 	}
 	r.log.Info("request: answered late", append([]any{"id", o.id, "route", o.route.Name, "reason", reason, "took", took.String(),
-		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Pace}, r.grounds(o, c)...)...)
+		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Slowdown}, r.grounds(o, c)...)...)
 }
 
 // lateReason tells what the server said with the answer from what went before it.
@@ -41,7 +41,7 @@
 		return lateRepeated
 	case l != nil && (l.Waiting > 0 || l.Running >= l.Slots):
 		return lateWaited
-	case l != nil && l.Pace >= slowPace:
+	case l != nil && l.Slowdown >= slowPace:
 		return lateSlow
 	}
 	return lateLong
--- a/io/process/router/late_test.go
+++ b/io/process/router/late_test.go
@@ -14,8 +14,8 @@
 		So(lateReason(2, &link.Load{Waiting: 3}), ShouldEqual, lateRepeated)
 		So(lateReason(1, &link.Load{Running: 2, Waiting: 3, Slots: 4}), ShouldEqual, lateWaited)
 		So(lateReason(1, &link.Load{Running: 4, Slots: 4}), ShouldEqual, lateWaited)
-		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 3}), ShouldEqual, lateSlow)
-		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 1}), ShouldEqual, lateLong)
+		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Slowdown: 3}), ShouldEqual, lateSlow)
+		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Slowdown: 1}), ShouldEqual, lateLong)
 		So(lateReason(1, nil), ShouldEqual, lateLong)
 	})
 }
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -136,7 +136,7 @@
 	w.turn.Lock()
 	if r.now().Before(cmd.Before) {
 		q := r.protocol.Grant(cmd.Call)
-		q.KeptOnly = cmd.Renewal
+		q.ExistingConnOnly = cmd.Renewal
 		m.Result, _ = r.order(w, cmd.Holder, q, grantTimeout)
 	}
 	w.turn.Unlock()
@@ -163,7 +163,7 @@
 	if err == nil {
 		return r.protocol.Result(a)
 	}
-	if !q.KeptOnly || !link.NotRun(err) {
+	if !q.ExistingConnOnly || !link.NotRun(err) {
 		r.log.Info("keys: call to server failed", "target", q.Target, "server", h.Server, "host", q.Host, "err", err)
 	}
 	if link.NotRun(err) {
--- a/io/process/router/links.go
+++ b/io/process/router/links.go
@@ -31,7 +31,7 @@
 // way is a link; turn makes grants to one server go one after the other, on
 // one connection.
 type way struct {
-	*link.Link
+	*link.Client
 	turn sync.Mutex
 }
 
@@ -54,7 +54,7 @@
 		if k.use != forRequests {
 			most = grantLinks
 		}
-		w = &way{Link: link.New(k.address, k.id, l.names, most)}
+		w = &way{Client: link.New(k.address, k.id, l.names, most)}
 		l.ways[k] = w
 	}
 	return w
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -110,7 +110,7 @@
 	Grant(grant.Call) link.Request
 	Release(grant.Call) link.Request
 	// Result sorts the answer to either; handover comes with a release.
-	Result(*link.Answer) (r grant.Result, handover string)
+	Result(*link.Response) (r grant.Result, handover string)
 	Callers
 }
 
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -63,7 +63,7 @@
 // noteEnd takes in how a request that must run once ended at its holder. The other daemons
 // learn of one that may have run without its caller's knowing: it is sent again by any of
 // them, perhaps after its holder was lost.
-func (r *Router) noteEnd(ctx context.Context, f firstSent, again bool, a *link.Answer, err error) {
+func (r *Router) noteEnd(ctx context.Context, f firstSent, again bool, a *link.Response, err error) {
 	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
 	unanswered := err != nil && !notRun || ctx.Err() != nil
 	r.mu.Lock()
@@ -83,7 +83,7 @@
 		r.meters.add("sent.notPassedOn")
 		return
 	}
-	if link.KindOf(err) == link.Unsure {
+	if link.KindOf(err) == link.ConnectionLost {
 		go r.post(urgentMsg{}) // not to wait under the lock; its holder may be lost
 	}
 }
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -24,7 +24,7 @@
 	return o
 }
 
-func (r *Router) ends(o *order, a *link.Answer, err error) {
+func (r *Router) ends(o *order, a *link.Response, err error) {
 	first, again := r.noteSent(o)
 	r.noteEnd(context.Background(), first, again, a, err)
 }
@@ -37,8 +37,8 @@
 }
 
 var (
-	errBroken  = &link.Error{Op: "read", Kind: link.Unsure}
-	errNotSent = &link.Error{Op: "dial", Kind: link.Refused}
+	errBroken  = &link.Error{Op: "read", Kind: link.ConnectionLost}
+	errNotSent = &link.Error{Op: "dial", Kind: link.ConnectionRefused}
 )
 
 // Guards against a booking whose holder cannot tell that it was sent before, and against one that is refused although it never was.
@@ -56,7 +56,7 @@
 	Convey("What surely did not run was not sent, unless an earlier attempt may have run", t, func() {
 		r := still()
 		r.ends(booked("a"), nil, errNotSent)
-		r.ends(booked("b"), &link.Answer{NotRun: true}, nil)
+		r.ends(booked("b"), &link.Response{NotRun: true}, nil)
 		r.ends(booked("c"), nil, errBroken)
 		r.ends(booked("c"), nil, errNotSent)
 		So(r.tells("a"), ShouldBeFalse)
@@ -116,7 +116,7 @@
 	Convey("What may have run without an answer is passed on, what was answered is not", t, func() {
 		r, other := still(), still()
 		r.ends(booked("a"), nil, errBroken)
-		r.ends(booked("b"), &link.Answer{Status: http.StatusOK}, nil)
+		r.ends(booked("b"), &link.Response{Status: http.StatusOK}, nil)
 		r.ends(booked("c"), nil, errNotSent)
 		found := r.sentNews()
 		So(found, ShouldHaveLength, 1)
@@ -135,7 +135,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		first, again := r.noteSent(booked("a"))
 		leave()
-		r.noteEnd(ctx, first, again, &link.Answer{Status: http.StatusOK}, nil)
+		r.noteEnd(ctx, first, again, &link.Response{Status: http.StatusOK}, nil)
 		So(r.sentNews(), ShouldHaveLength, 1)
 	})
 	Convey("No more than a bounded number at once", t, func() {
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -52,7 +52,7 @@
 	// turnedDown is how many servers gave no permit.
 	turnedDown int
 	// held is a server's own failure, given to the caller if nothing better comes.
-	held *link.Answer
+	held *link.Response
 }
 
 // serve answers one request and counts how it ended.
@@ -132,7 +132,7 @@
 func (o *order) attempts() int { return o.arrived + o.unsent }
 
 // answer is a server's answer as the caller gets it.
-func (r *Router) answer(o *order, a *link.Answer) caller.Reply {
+func (r *Router) answer(o *order, a *link.Response) caller.Reply {
 	h := a.Header
 	h.Del(r.protocol.Names().Load)
 	r.protocol.Answered(h, o.id, a.Server)
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -24,12 +24,12 @@
 		return outcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
 	}
 	Convey("A write that fails says nothing of the way to the server", t, func() {
-		So(failed(link.NoWay), ShouldEqual, spread.ConnectFailed)
+		So(failed(link.ConnectFailed), ShouldEqual, spread.ConnectFailed)
 		So(failed(link.NotSent), ShouldEqual, spread.Failed)
-		So(failed(link.Refused), ShouldEqual, spread.ConnectionRefused)
-		reset := &link.Error{Op: "read", Kind: link.Unsure, Err: syscall.ECONNRESET}
+		So(failed(link.ConnectionRefused), ShouldEqual, spread.ConnectionRefused)
+		reset := &link.Error{Op: "read", Kind: link.ConnectionLost, Err: syscall.ECONNRESET}
 		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.ConnectionReset)
-		reset.Kept = true
+		reset.ReusedConn = true
 		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.Failed)
 	})
 }
@@ -72,7 +72,7 @@
 	})
 	Convey("An unkeyed request goes elsewhere, unless the server only declined", t, func() {
 		o, v := &order{key: -1}, fleet.Server{ID: "a"}
-		o.failedAt(v, &link.Answer{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
+		o.failedAt(v, &link.Response{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
 		So(o.need.Excluded, ShouldBeEmpty)
 		o.failedAt(v, nil)
 		So(o.need.Excluded, ShouldResemble, []string{"a"})
