--- a/io/connection/caller/caller_test.go
+++ b/io/connection/caller/caller_test.go
@@ -15,7 +15,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func start(t *testing.T, h Handler, opts ...Option) (*Server, string) {
+func startServer(t *testing.T, h Handler, opts ...Option) (*Server, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,24 +27,24 @@
 	return s, l.Addr().String()
 }
 
-// client is a caller that writes and reads as it likes.
-type client struct {
+// testClient is a caller whose writes and reads the test controls.
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(address string) *client {
+func dial(address string) *testClient {
 	c, err := net.Dial("tcp", address)
 	So(err, ShouldBeNil)
-	return &client{Conn: c, r: bufio.NewReader(c)}
+	return &testClient{Conn: c, r: bufio.NewReader(c)}
 }
 
-func (c *client) get(path string) {
+func (c *testClient) get(path string) {
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path)
 	So(err, ShouldBeNil)
 }
 
-func (c *client) answer() (*http.Response, string) {
+func (c *testClient) readResponse() (*http.Response, string) {
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodGet})
 	So(err, ShouldBeNil)
@@ -53,56 +53,56 @@
 	return resp, string(body)
 }
 
-func echo(_ context.Context, r Request) Reply {
-	return Reply{Status: 200, Header: http.Header{}, Body: []byte(r.URL.Path + string(r.Body))}
+func echo(_ context.Context, r Request) Response {
+	return Response{Status: 200, Header: http.Header{}, Body: []byte(r.URL.Path + string(r.Body))}
 }
 
-// Guards against a second lookup that is not read until the first is answered.
-func TestPipelined(t *testing.T) {
-	Convey("Requests run side by side and are answered in order", t, func() {
-		quick := make(chan struct{})
-		_, address := start(t, func(_ context.Context, r Request) Reply {
+// Guards against a pipelined request that is not read until the previous one has its response.
+func TestPipelining(t *testing.T) {
+	Convey("Requests run concurrently and get their responses in order", t, func() {
+		quickHandled := make(chan struct{})
+		_, address := startServer(t, func(_ context.Context, r Request) Response {
 			if r.URL.Path == "/slow" {
 				select {
-				case <-quick:
+				case <-quickHandled:
 				case <-time.After(3 * time.Second):
 				}
 				return echo(nil, r) //nolint:staticcheck // echo needs no context
 			}
-			close(quick)
+			close(quickHandled)
 			return echo(nil, r) //nolint:staticcheck // as above
 		})
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/slow")
 		c.get("/quick")
-		began := time.Now()
-		_, first := c.answer()
-		_, second := c.answer()
+		beganAt := time.Now()
+		_, first := c.readResponse()
+		_, second := c.readResponse()
 		So(first, ShouldEqual, "/slow")
 		So(second, ShouldEqual, "/quick")
-		So(time.Since(began), ShouldBeLessThan, 2*time.Second)
+		So(time.Since(beganAt), ShouldBeLessThan, 2*time.Second)
 	})
 }
 
-func TestBodies(t *testing.T) {
-	_, address := start(t, echo, WithLimits(func() Limits {
-		return Limits{HeaderBytes: 2000, BodyBytes: 100, Header: time.Second, Idle: time.Second}
+func TestReadLimits(t *testing.T) {
+	_, address := startServer(t, echo, WithLimits(func() Limits {
+		return Limits{MaxHeaderBytes: 2000, MaxBodyBytes: 100, ReadTimeout: time.Second, IdleTimeout: time.Second}
 	}))
 	send := func(text string) (*http.Response, string) {
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		_, err := io.WriteString(c, text)
 		So(err, ShouldBeNil)
-		return c.answer()
+		return c.readResponse()
 	}
-	Convey("Bodies come whole, with a length or in chunks", t, func() {
+	Convey("Bodies are read completely, with a length or in chunks", t, func() {
 		_, body := send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz")
 		So(body, ShouldEqual, "/axyz")
 		_, body = send("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxy\r\n1\r\nz\r\n0\r\n\r\n")
 		So(body, ShouldEqual, "/axyz")
 	})
-	Convey("What is beyond the limits is refused, and no more is read", t, func() {
+	Convey("Requests beyond the limits get an error, and the connection is closed", t, func() {
 		resp, _ := send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n")
 		So(resp.StatusCode, ShouldEqual, 413)
 		So(resp.Close, ShouldBeTrue)
@@ -113,177 +113,177 @@
 		resp, _ = send("nonsense\r\n\r\n")
 		So(resp.StatusCode, ShouldEqual, 400)
 	})
-	Convey("A head that does not arrive in time is refused", t, func() {
+	Convey("A header that does not arrive in time gets an error", t, func() {
 		resp, _ := send("GET /a HTTP/1.1\r\nHost:")
 		So(resp.StatusCode, ShouldEqual, 408)
 	})
 }
 
-// Guards against work that goes on after its caller has left.
-func TestCallerLeaves(t *testing.T) {
-	Convey("The request's context ends with the connection", t, func() {
-		gone := make(chan struct{})
-		_, address := start(t, func(ctx context.Context, _ Request) Reply {
+// Guards against work that continues after its caller has disconnected.
+func TestCallerDisconnects(t *testing.T) {
+	Convey("The request's context is cancelled when the connection is closed", t, func() {
+		cancelled := make(chan struct{})
+		_, address := startServer(t, func(ctx context.Context, _ Request) Response {
 			<-ctx.Done()
-			close(gone)
-			return Reply{Status: 502, Header: http.Header{}}
+			close(cancelled)
+			return Response{Status: 502, Header: http.Header{}}
 		})
 		c := dial(address)
 		c.get("/x")
 		time.Sleep(50 * time.Millisecond)
 		_ = c.Close()
 		select {
-		case <-gone:
+		case <-cancelled:
 		case <-time.After(2 * time.Second):
 			So("the handler", ShouldEqual, "notified")
 		}
 	})
 }
 
-// Guards against a planned stop that closes connections whose request is on its way.
-func TestStopAwaitsRequestsOnTheWay(t *testing.T) {
-	finish := func(s *Server) {
+// Guards against a shutdown that closes connections whose request is still arriving.
+func TestShutdownAwaitsRequests(t *testing.T) {
+	shutDown := func(s *Server) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		t.Cleanup(cancel)
-		go s.Finish(ctx)
-		time.Sleep(3 * finishPoll)
+		go s.Shutdown(ctx)
+		time.Sleep(3 * shutdownPollInterval)
 	}
 	Convey("The first request of a new connection is answered", t, func() {
-		s, address := start(t, echo)
+		s, address := startServer(t, echo)
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
-		for s.Taken() < 1 {
+		for s.Accepted() < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		finish(s)
+		shutDown(s)
 		c.get("/1")
-		resp, body := c.answer()
+		resp, body := c.readResponse()
 		So(body, ShouldEqual, "/1")
 		So(resp.Close, ShouldBeTrue)
 	})
-	Convey("A request that has begun to come is read and answered", t, func() {
-		s, address := start(t, echo)
+	Convey("A request that has partly arrived is read and answered", t, func() {
+		s, address := startServer(t, echo)
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, _ = c.answer()
-		time.Sleep(2 * firstWithin)
+		_, _ = c.readResponse()
+		time.Sleep(2 * firstRequestWait)
 		_, _ = io.WriteString(c, "GET /2 HTTP/1.1\r\n")
-		time.Sleep(finishPoll)
-		finish(s)
+		time.Sleep(shutdownPollInterval)
+		shutDown(s)
 		_, _ = io.WriteString(c, "Host: h\r\n\r\n")
-		resp, body := c.answer()
+		resp, body := c.readResponse()
 		So(body, ShouldEqual, "/2")
 		So(resp.Close, ShouldBeTrue)
 	})
-	Convey("Connections that are only just being accepted are awaited", t, func() {
-		s, address := start(t, echo)
-		finished := make(chan struct{})
-		go func() { defer close(finished); s.Finish(context.Background()) }()
-		time.Sleep(finishPoll)
+	Convey("Shutdown waits for connections that are only just being accepted", t, func() {
+		s, address := startServer(t, echo)
+		shutDownDone := make(chan struct{})
+		go func() { defer close(shutDownDone); s.Shutdown(context.Background()) }()
+		time.Sleep(shutdownPollInterval)
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, body := c.answer()
+		_, body := c.readResponse()
 		So(body, ShouldEqual, "/1")
 		select {
-		case <-finished:
-			So("Finish", ShouldEqual, "waiting")
+		case <-shutDownDone:
+			So("Shutdown", ShouldEqual, "waiting")
 		default:
 		}
-		<-finished
+		<-shutDownDone
 	})
-	Convey("A connection on which nothing comes is closed", t, func() {
-		s, address := start(t, echo)
+	Convey("A connection without any request is closed", t, func() {
+		s, address := startServer(t, echo)
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
-		for s.Taken() < 1 {
+		for s.Accepted() < 1 {
 			time.Sleep(time.Millisecond)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		s.Finish(ctx)
+		s.Shutdown(ctx)
 		So(ctx.Err(), ShouldBeNil)
 	})
 }
 
-// Guards against a planned stop that leaves requests unanswered which were read.
-func TestPlannedStop(t *testing.T) {
-	Convey("No request that was read is cut", t, func() {
-		let := make(chan struct{})
-		var began atomic.Int32
-		s, address := start(t, func(ctx context.Context, r Request) Reply {
-			began.Add(1)
-			<-let
+// Guards against a shutdown that leaves accepted requests unanswered.
+func TestShutdown(t *testing.T) {
+	Convey("Every request that was read gets its response", t, func() {
+		release := make(chan struct{})
+		var started atomic.Int32
+		s, address := startServer(t, func(ctx context.Context, r Request) Response {
+			started.Add(1)
+			<-release
 			return echo(ctx, r)
 		})
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
 		c.get("/2")
-		for began.Load() < 2 {
+		for started.Load() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		s.Stop()
-		close(let)
-		first, body1 := c.answer()
-		second, body2 := c.answer()
+		s.BeginShutdown()
+		close(release)
+		first, body1 := c.readResponse()
+		second, body2 := c.readResponse()
 		So(body1+body2, ShouldEqual, "/1/2")
 		So(first.Close, ShouldBeFalse)
 		So(second.Close, ShouldBeTrue)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
-		s.Finish(ctx)
+		s.Shutdown(ctx)
 		So(ctx.Err(), ShouldBeNil)
 		So(s.Running(), ShouldEqual, 0)
 	})
-	Convey("After the stop no request is taken behind another", t, func() {
-		let := make(chan struct{})
-		var began atomic.Int32
-		s, address := start(t, func(ctx context.Context, r Request) Reply {
-			began.Add(1)
-			<-let
+	Convey("No request is accepted while another is pending on the connection", t, func() {
+		release := make(chan struct{})
+		var started atomic.Int32
+		s, address := startServer(t, func(ctx context.Context, r Request) Response {
+			started.Add(1)
+			<-release
 			return echo(ctx, r)
 		})
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		for began.Load() < 1 {
+		for started.Load() < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		s.Stop()
+		s.BeginShutdown()
 		c.get("/2")
 		time.Sleep(50 * time.Millisecond)
-		close(let)
-		resp, body := c.answer()
+		close(release)
+		resp, body := c.readResponse()
 		So(body, ShouldEqual, "/1")
 		So(resp.Close, ShouldBeTrue)
-		So(began.Load(), ShouldEqual, 1)
+		So(started.Load(), ShouldEqual, 1)
 	})
-	Convey("A connection whose answer is on its way out is not idle", t, func() {
-		const large = 16 << 20 // more than the system takes without a reader
-		s, address := start(t, func(context.Context, Request) Reply {
-			return Reply{Status: 200, Header: http.Header{}, Body: make([]byte, large)}
+	Convey("A connection whose response is being sent is not idle", t, func() {
+		const large = 16 << 20 // more than the socket buffers hold
+		s, address := startServer(t, func(context.Context, Request) Response {
+			return Response{Status: 200, Header: http.Header{}, Body: make([]byte, large)}
 		})
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
 		_, err := c.r.Peek(1)
 		So(err, ShouldBeNil)
-		s.Stop()
+		s.BeginShutdown()
 		So(s.closeIdle(time.Now()), ShouldEqual, 1)
-		_, body := c.answer()
+		_, body := c.readResponse()
 		So(len(body), ShouldEqual, large)
 	})
-	Convey("An idle connection is closed only at the end", t, func() {
-		s, address := start(t, echo)
+	Convey("BeginShutdown does not close idle connections", t, func() {
+		s, address := startServer(t, echo)
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, _ = c.answer()
-		s.Stop()
+		_, _ = c.readResponse()
+		s.BeginShutdown()
 		c.get("/2")
-		resp, body := c.answer()
+		resp, body := c.readResponse()
 		So(body, ShouldEqual, "/2")
 		So(resp.Close, ShouldBeTrue)
 	})
--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -13,68 +13,68 @@
 	"time"
 )
 
-// conn is one caller's connection.
+// conn is a connection of a caller.
 type conn struct {
 	server *Server
 	net.Conn
-	meter  *meter
-	r      *bufio.Reader
-	ctx    context.Context //nolint:containedctx // lives as long as the connection
-	cancel context.CancelFunc
-	queue  chan *job
+	limitedReader *limitedReader
+	r             *bufio.Reader
+	ctx           context.Context //nolint:containedctx // lives as long as the connection
+	cancel        context.CancelFunc
+	queue         chan *pendingRequest
 
 	mu      sync.Mutex
 	pending int
-	// sending is set while an answer is on its way out: the connection is not
-	// idle then although nothing is pending any more, and closing it would cut
-	// the answer.
+	// sending is set while a response is written. The connection must not be closed
+	// then, although no request is pending any more.
 	sending bool
-	closing bool // nothing that is read from now on is handled
-	// arriving is set while a request is read: closing the connection would cut it
-	// although nothing is pending yet.
-	arriving bool
-	opened   time.Time
-	served   bool // a request has come
+	// closing means that no further request is handled.
+	closing bool
+	// reading is set while a request is read. The connection must not be closed then,
+	// although no request is pending yet.
+	reading     bool
+	openedAt    time.Time
+	requestSeen bool // a request has been read
 }
 
-// job is one request on its way to its answer.
-type job struct {
-	reply Reply
-	head  bool // a HEAD request's answer has no body
-	last  bool // the connection ends after it
-	done  chan struct{}
+// pendingRequest is a request that waits for its response.
+type pendingRequest struct {
+	resp       Response
+	isHead     bool // a HEAD request, whose response has no body
+	closeAfter bool // the connection is closed after the response
+	done       chan struct{}
 }
 
 func newConn(ctx context.Context, cancel context.CancelFunc, s *Server, nc net.Conn) *conn {
-	m := &meter{r: nc}
-	return &conn{server: s, Conn: nc, meter: m, r: bufio.NewReaderSize(m, 4096), ctx: ctx, cancel: cancel, queue: make(chan *job, depth), opened: time.Now()}
+	lr := &limitedReader{r: nc}
+	return &conn{server: s, Conn: nc, limitedReader: lr, r: bufio.NewReaderSize(lr, 4096), ctx: ctx, cancel: cancel, queue: make(chan *pendingRequest, maxPipelined), openedAt: time.Now()}
 }
 
-// read takes requests until the caller is gone or breaks the protocol. It goes
-// on reading while requests run, which is how the caller's leaving is seen.
-func (c *conn) read() {
+// readLoop reads requests until the caller disconnects or violates the protocol. It
+// continues to read while requests run, so that it detects a disconnect.
+func (c *conn) readLoop() {
 	defer close(c.queue)
 	for {
-		r, body, err := c.request()
+		r, body, err := c.readRequest()
 		if err != nil {
-			c.refuse(err)
+			c.handleReadError(err)
 			return
 		}
-		j := &job{done: make(chan struct{}), head: r.Method == http.MethodHead, last: r.Close}
+		p := &pendingRequest{done: make(chan struct{}), isHead: r.Method == http.MethodHead, closeAfter: r.Close}
 		if !c.admit() {
 			return
 		}
-		go c.handle(j, Request{Request: r, Body: body, Read: time.Now()})
-		c.queue <- j
-		if j.last {
-			c.watch()
+		go c.handle(p, Request{Request: r, Body: body, ReadAt: time.Now()})
+		c.queue <- p
+		if p.closeAfter {
+			c.awaitDisconnect()
 			return
 		}
 	}
 }
 
-// watch waits for the caller's end after its last request.
-func (c *conn) watch() {
+// awaitDisconnect cancels the context if the caller disconnects after its last request.
+func (c *conn) awaitDisconnect() {
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
 		_, err := c.r.Peek(1)
@@ -84,19 +84,20 @@
 	}()
 }
 
-func (c *conn) handle(j *job, r Request) {
-	defer close(j.done)
-	j.reply = c.server.handler(c.ctx, r)
+func (c *conn) handle(p *pendingRequest, r Request) {
+	defer close(p.done)
+	p.resp = c.server.handler(c.ctx, r)
 }
 
-// admit counts a request that was read, unless the close was announced. After a
-// stop none is taken behind another: a caller that always sends ahead would
-// keep the connection busy until the process ends, and lose its last requests.
+// admit counts a request that was read, and reports whether it is to be handled. During a
+// shutdown, no request is accepted while another is pending on the connection: a caller
+// that always pipelines would keep the connection busy until the process ends, and lose
+// its last requests.
 func (c *conn) admit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arriving, c.served = false, true
-	if c.closing || c.server.stopping.Load() && c.pending > 0 {
+	c.reading, c.requestSeen = false, true
+	if c.closing || c.server.shuttingDown.Load() && c.pending > 0 {
 		c.closing = true
 		return false
 	}
@@ -105,34 +106,35 @@
 	return true
 }
 
-// arrives notes that a request begins to come, unless the connection is closed.
-func (c *conn) arrives() bool {
+// beginRead marks the connection as reading a request. It returns false if the connection
+// is closing.
+func (c *conn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arriving = !c.closing
-	return c.arriving
+	c.reading = !c.closing
+	return c.reading
 }
 
-// request reads one whole request.
-func (c *conn) request() (*http.Request, []byte, error) {
+// readRequest reads a request with its body.
+func (c *conn) readRequest() (*http.Request, []byte, error) {
 	l := c.server.limits()
-	c.readWithin(l.Idle)
-	if _, err := c.r.Peek(1); err != nil || !c.arrives() {
-		return nil, nil, errIdle
+	c.setReadTimeout(l.IdleTimeout)
+	if _, err := c.r.Peek(1); err != nil || !c.beginRead() {
+		return nil, nil, errConnEnded
 	}
-	c.readWithin(l.Header)
-	c.meter.limit(l.HeaderBytes)
+	c.setReadTimeout(l.ReadTimeout)
+	c.limitedReader.setLimit(l.MaxHeaderBytes)
 	r, err := http.ReadRequest(c.r)
-	c.meter.limit(0)
+	c.limitedReader.setLimit(0)
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := c.body(r, l)
+	body, err := c.readBody(r, l)
 	return r, body, err
 }
 
-// readWithin bounds the next reads, but for a connection that is closing.
-func (c *conn) readWithin(d time.Duration) {
+// setReadTimeout sets the timeout of the next reads, unless the connection is closing.
+func (c *conn) setReadTimeout(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closing {
@@ -140,133 +142,134 @@
 	}
 }
 
-func (c *conn) body(r *http.Request, l Limits) ([]byte, error) {
+func (c *conn) readBody(r *http.Request, l Limits) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	if r.ContentLength > l.BodyBytes {
+	if r.ContentLength > l.MaxBodyBytes {
 		return nil, errBodyTooLarge
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 		if _, err := io.WriteString(c.Conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, errIdle
+			return nil, errConnEnded
 		}
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, l.BodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, l.MaxBodyBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(body)) > l.BodyBytes {
+	if int64(len(body)) > l.MaxBodyBytes {
 		return nil, errBodyTooLarge
 	}
 	return body, nil
 }
 
 var (
-	errIdle         = errors.New("caller: the connection ended between requests")
-	errHeadTooLarge = errors.New("caller: the request's head is too large")
-	errBodyTooLarge = errors.New("caller: the request's body is too large")
+	errConnEnded      = errors.New("caller: connection ended without a further request")
+	errHeaderTooLarge = errors.New("caller: request header too large")
+	errBodyTooLarge   = errors.New("caller: request body too large")
 )
 
-// refuse answers what could not be read as a request, behind all that were.
-func (c *conn) refuse(err error) {
+// handleReadError queues an error response to a request that could not be read, or cancels
+// the pending requests if the connection has ended.
+func (c *conn) handleReadError(err error) {
 	status := http.StatusBadRequest
 	switch {
-	case errors.Is(err, errIdle):
-		c.left()
+	case errors.Is(err, errConnEnded):
+		c.cancelRequests()
 		return
-	case errors.Is(err, errHeadTooLarge):
+	case errors.Is(err, errHeaderTooLarge):
 		status = http.StatusRequestHeaderFieldsTooLarge
 	case errors.Is(err, errBodyTooLarge):
 		status = http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		status = http.StatusRequestTimeout
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), isReset(err):
-		c.left()
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), isConnError(err):
+		c.cancelRequests()
 		return
 	}
 	if !c.admit() {
 		return
 	}
-	j := &job{done: make(chan struct{}), last: true, reply: Reply{Status: status, Header: http.Header{}}}
-	close(j.done)
-	c.queue <- j
+	p := &pendingRequest{done: make(chan struct{}), closeAfter: true, resp: Response{Status: status, Header: http.Header{}}}
+	close(p.done)
+	c.queue <- p
 }
 
-// left cancels what runs for a caller that has closed its connection. One that
-// was merely idle for too long has nothing running.
-func (c *conn) left() {
+// cancelRequests cancels the running requests of a connection that the caller has closed.
+// A connection that was idle for too long is expected to have none.
+func (c *conn) cancelRequests() {
 	c.mu.Lock()
-	c.closing, c.arriving = true, false
+	c.closing, c.reading = true, false
 	c.mu.Unlock()
 	c.cancel()
 }
 
-// write sends the answers in order.
-func (c *conn) write() {
-	defer c.server.ended(c)
-	defer c.Close() //nolint:errcheck // nothing more is to be said on it
+// writeLoop sends the responses in the order of the requests.
+func (c *conn) writeLoop() {
+	defer c.server.removeConn(c)
+	defer c.Close() //nolint:errcheck // nothing more is sent on it
 	defer c.cancel()
-	broken := false
-	for j := range c.queue {
-		<-j.done
-		last := c.answered(j)
-		if !broken {
-			broken = c.send(j, last) != nil
+	sendFailed := false
+	for p := range c.queue {
+		<-p.done
+		closeAfter := c.beginSend(p)
+		if !sendFailed {
+			sendFailed = c.send(p, closeAfter) != nil
 		}
 		c.server.running.Add(-1)
-		c.sent()
-		if broken {
+		c.endSend()
+		if sendFailed {
 			c.cancel()
 		}
-		if last {
+		if closeAfter {
 			c.drain()
 			return
 		}
 	}
 }
 
-// answered decides whether an answer is the connection's last. After a stop it
-// is when no request that was read is behind it.
-func (c *conn) answered(j *job) bool {
+// beginSend marks the connection as sending, and reports whether the response is the last
+// on the connection. During a shutdown it is, if no other request is pending.
+func (c *conn) beginSend(p *pendingRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
 	c.sending = true
-	if j.last || c.server.stopping.Load() && c.pending == 0 {
+	if p.closeAfter || c.server.shuttingDown.Load() && c.pending == 0 {
 		c.closing = true
 		return true
 	}
 	return false
 }
 
-// sent ends what answered began.
-func (c *conn) sent() {
+// endSend marks the connection as no longer sending.
+func (c *conn) endSend() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sending = false
 }
 
-// drain lets the last answer reach the caller: closing with unread bytes would
-// reset the connection and lose it.
+// drain closes the sending side and discards what the caller still sends. Closing the
+// connection with unread data would reset it, and the last response could be lost.
 func (c *conn) drain() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingerTime))
-	for range c.queue { // empty: no request that was read is behind the last one
+	_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
+	for range c.queue { // after the last response, admit accepts no request
 	}
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
-// lingerTime is how long the end of the caller's side is awaited after the last
-// answer: longer than an answer takes to any caller.
-const lingerTime = 300 * time.Millisecond
+// drainTimeout is how long the caller's close is awaited after the last response. It is
+// longer than a response takes to reach any caller.
+const drainTimeout = 300 * time.Millisecond
 
 func (c *conn) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pending > 0 || c.sending || c.arriving || !c.served && now.Sub(c.opened) < firstWithin {
+	if c.pending > 0 || c.sending || c.reading || !c.requestSeen && now.Sub(c.openedAt) < firstRequestWait {
 		return false
 	}
 	c.closing = true
@@ -274,7 +277,7 @@
 	return true
 }
 
-func isReset(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && !op.Timeout()
+func isConnError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && !opErr.Timeout()
 }
--- a/io/connection/caller/doc.go
+++ b/io/connection/caller/doc.go
@@ -1,16 +1,16 @@
-// Package caller serves callers' connections. Requests on one connection are
-// read ahead, handled side by side, and answered in the order they came in: the
-// standard server reads the next request only when the one before is answered,
-// so that a slow lookup would hold back all behind it.
+// Package caller is the HTTP/1.1 server for callers. Pipelined requests of one
+// connection are handled concurrently, and their responses are sent in the order
+// of the requests. http.Server reads the next request only after it has responded
+// to the previous one, so that a slow request would delay all that follow.
 //
-// The end of a caller's connection is seen while its requests run, and cancels
-// their contexts. A request that was read is always answered: a planned stop
-// announces the close with the last answer instead of cutting.
+// The server detects a closed connection while its requests run, and cancels their
+// contexts. During a shutdown, every request that was accepted still gets its
+// response: the last response of a connection announces the close.
 //
 // # Usage
 //
 //	s := caller.New(handler, caller.WithLimits(limits))
 //	go s.Serve(listener)
-//	s.Stop()          // answers from now on announce the close
-//	s.Finish(ctx)     // closes what is idle and waits for the rest
+//	s.BeginShutdown() // from now on, responses announce the close
+//	s.Shutdown(ctx)   // closes idle connections and waits for the others
 package caller
--- a/io/connection/caller/send.go
+++ b/io/connection/caller/send.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// sendTimeout bounds the writing of an answer to a caller that does not read.
+// sendTimeout bounds how long a response is written to a caller that does not read it.
 const sendTimeout = 5 * time.Second
 
-// send writes an answer in one piece, framed by its length.
-func (c *conn) send(j *job, last bool) error {
+// send writes a response in one piece, with its length.
+func (c *conn) send(p *pendingRequest, closeAfter bool) error {
 	var b strings.Builder
-	b.Grow(256 + len(j.reply.Body))
-	status := j.reply.Status
+	b.Grow(256 + len(p.resp.Body))
+	status := p.resp.Status
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	for name, values := range j.reply.Header {
-		if hopByHop(name) {
+	for name, values := range p.resp.Header {
+		if isHopByHop(name) {
 			continue
 		}
 		for _, v := range values {
 			b.WriteString(name + ": " + v + "\r\n")
 		}
 	}
-	bodiless := status == http.StatusNoContent || status == http.StatusNotModified
+	noBody := status == http.StatusNoContent || status == http.StatusNotModified
 	switch {
-	case j.head && j.reply.Header.Get("Content-Length") != "":
-		b.WriteString("Content-Length: " + j.reply.Header.Get("Content-Length") + "\r\n")
-	case !bodiless:
-		b.WriteString("Content-Length: " + strconv.Itoa(len(j.reply.Body)) + "\r\n")
+	case p.isHead && p.resp.Header.Get("Content-Length") != "":
+		b.WriteString("Content-Length: " + p.resp.Header.Get("Content-Length") + "\r\n")
+	case !noBody:
+		b.WriteString("Content-Length: " + strconv.Itoa(len(p.resp.Body)) + "\r\n")
 	}
-	if last {
+	if closeAfter {
 		b.WriteString("Connection: close\r\n")
 	}
 	b.WriteString("\r\n")
-	if !j.head && !bodiless {
-		b.Write(j.reply.Body)
+	if !p.isHead && !noBody {
+		b.Write(p.resp.Body)
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, err := c.Write([]byte(b.String()))
 	return err
 }
 
-// hopByHop tells which headers concern one connection only, or its framing.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header applies only to one connection or its framing.
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length", "Trailer", "Te", "Upgrade":
 		return true
--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -13,83 +13,85 @@
 )
 
 const (
-	// depth is how many requests of one connection may be under way: a few more
-	// than callers were seen to send ahead.
-	depth = 16
-	// acceptPause follows a failed accept, as when descriptors run out.
-	acceptPause = 20 * time.Millisecond
-	// userTimeout ends a connection whose answer is not acknowledged.
-	userTimeout = 5 * time.Second
-	// firstWithin is how long a new connection is awaited its first request while
-	// the server finishes: a few round trips to any caller.
-	firstWithin = 250 * time.Millisecond
-	// finishPoll paces the wait for the last requests.
-	finishPoll = 20 * time.Millisecond
+	// maxPipelined is how many requests of one connection may wait for their responses.
+	// Callers were observed to pipeline somewhat fewer.
+	maxPipelined = 16
+	// acceptRetryDelay is the delay after a failed accept, for example because there are
+	// no free file descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
+	// tcpUserTimeout closes a connection whose caller does not acknowledge a response.
+	tcpUserTimeout = 5 * time.Second
+	// firstRequestWait is how long the first request of a new connection is awaited during
+	// a shutdown: a few round trips to any caller.
+	firstRequestWait = 250 * time.Millisecond
+	// shutdownPollInterval is the interval at which a shutdown checks for open connections.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// Reply is the answer to one request.
-type Reply struct {
+// Response is the response to a request.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Request is one request, read whole.
+// Request is a request with its complete body.
 type Request struct {
 	*http.Request
 	Body []byte
-	// Read is when it had been read.
-	Read time.Time
+	// ReadAt is when the request had been read completely.
+	ReadAt time.Time
 }
 
-// Refusal is an answer that is not a server's, before it has a form.
+// Refusal describes a response of the router itself, which a protocol formats.
 type Refusal struct {
 	ID     string
 	Status int
-	// Reason is the code that logs and counters name it by.
+	// Reason is the code of the refusal in logs and metrics.
 	Reason string
-	// MaybeRan is set when an attempt may have run.
+	// MaybeRan means that a server may have run the request.
 	MaybeRan bool
-	// After is when coming back may help; zero when it does not.
-	After time.Duration
+	// RetryAfter is when a retry may succeed; zero if a retry is not useful.
+	RetryAfter time.Duration
 }
 
-// Handler answers a request. Its context ends when the caller is gone.
-type Handler func(ctx context.Context, r Request) Reply
+// Handler returns the response to a request. The context is cancelled when the caller's
+// connection ends.
+type Handler func(ctx context.Context, r Request) Response
 
-// Limits bound what a caller may send.
+// Limits are the limits on requests and connections of callers.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	// Header is how long a request may take to arrive, Idle how long a
-	// connection may be kept without one.
-	Header time.Duration
-	Idle   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	// ReadTimeout is how long a request may take to arrive.
+	ReadTimeout time.Duration
+	// IdleTimeout is how long a connection may stay open without a request.
+	IdleTimeout time.Duration
 }
 
 // Server serves the connections of one listener.
 type Server struct {
-	handler  Handler
-	limits   func() Limits
-	stopping atomic.Bool
-	running  atomic.Int64
-	taken    atomic.Int64
+	handler      Handler
+	limits       func() Limits
+	shuttingDown atomic.Bool
+	running      atomic.Int64
+	accepted     atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*conn]bool
 }
 
-// Option changes a Server that New makes.
+// Option configures a Server.
 type Option func(*Server)
 
-// WithLimits sets where the limits in force are read from.
+// WithLimits sets the function that returns the current limits.
 func WithLimits(f func() Limits) Option { return func(s *Server) { s.limits = f } }
 
-// New returns a Server.
+// New returns a Server that handles requests with h.
 func New(h Handler, opts ...Option) *Server {
 	s := &Server{handler: h, conns: map[*conn]bool{}}
 	s.limits = func() Limits {
-		return Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, Header: 5 * time.Second, Idle: time.Minute}
+		return Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	}
 	for _, o := range opts {
 		o(s)
@@ -97,11 +99,11 @@
 	return s
 }
 
-// Running is the number of requests that were read and not yet answered.
+// Running returns the number of requests that wait for their responses.
 func (s *Server) Running() int64 { return s.running.Load() }
 
-// Taken is the number of connections accepted so far.
-func (s *Server) Taken() int64 { return s.taken.Load() }
+// Accepted returns the number of connections accepted so far.
+func (s *Server) Accepted() int64 { return s.accepted.Load() }
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
@@ -111,33 +113,34 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.taken.Add(1)
-		s.start(nc)
+		s.accepted.Add(1)
+		s.startConn(nc)
 	}
 }
 
-// Stop makes answers announce the close of their connections.
-func (s *Server) Stop() { s.stopping.Store(true) }
+// BeginShutdown makes the server announce the close of each connection with the last
+// response on it, and accept no request while another is pending on the connection.
+func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
-// Finish closes idle connections and waits until the rest are answered. Callers
-// that connected right before the listener was closed, and may not be known here
-// yet, are awaited their first request.
-func (s *Server) Finish(ctx context.Context) {
-	s.Stop()
-	began := time.Now()
+// Shutdown closes idle connections and waits until the others have got their responses or
+// the context ends. It waits at least firstRequestWait, for the first requests of callers
+// that connected just before the listener was closed and may not have been accepted yet.
+func (s *Server) Shutdown(ctx context.Context) {
+	s.BeginShutdown()
+	beganAt := time.Now()
 	for ctx.Err() == nil {
-		left := s.closeIdle(time.Now())
-		if left == 0 && time.Since(began) >= firstWithin {
+		remaining := s.closeIdle(time.Now())
+		if remaining == 0 && time.Since(beganAt) >= firstRequestWait {
 			return
 		}
-		time.Sleep(finishPoll)
+		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// Abort breaks all connections, as the end of the process would.
+// Abort closes all connections at once, as the end of the process would.
 func (s *Server) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,9 +149,9 @@
 	}
 }
 
-func (s *Server) start(nc net.Conn) {
-	if err := sock.SetUserTimeout(nc, userTimeout); err != nil {
-		_ = nc.Close() // the caller has gone already
+func (s *Server) startConn(nc net.Conn) {
+	if err := sock.SetUserTimeout(nc, tcpUserTimeout); err != nil {
+		_ = nc.Close() // the caller has already disconnected
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -156,17 +159,17 @@
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
-	go c.write()
-	go c.read()
+	go c.writeLoop()
+	go c.readLoop()
 }
 
-func (s *Server) ended(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 }
 
-// closeIdle closes connections without a request and returns how many are left.
+// closeIdle closes the idle connections and returns the number of those still open.
 func (s *Server) closeIdle(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -151,9 +151,9 @@
 		out.Ran = OutcomeUnknown
 	}
 	h := http.Header{"Content-Type": {"application/json"}}
-	if f.After > 0 {
-		out.RetryAfter = f.After.Round(time.Millisecond).String()
-		h.Set("Retry-After", strconv.Itoa(max(1, int((f.After+time.Second-1)/time.Second))))
+	if f.RetryAfter > 0 {
+		out.RetryAfter = f.RetryAfter.Round(time.Millisecond).String()
+		h.Set("Retry-After", strconv.Itoa(max(1, int((f.RetryAfter+time.Second-1)/time.Second))))
 	}
 	h.Set(names.Default().ID, f.ID)
 	h.Set(HeaderOutcome, out.Ran)
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -15,7 +15,7 @@
 )
 
 // attempt sends the request until an answer counts or nothing more may be done.
-func (r *Router) attempt(ctx context.Context, o *order) caller.Reply {
+func (r *Router) attempt(ctx context.Context, o *order) caller.Response {
 	for {
 		if ctx.Err() != nil {
 			return *r.plain(o.id, http.StatusBadGateway, reasonLeft)
@@ -159,7 +159,7 @@
 }
 
 // judge decides what an attempt's end means for the caller.
-func (r *Router) judge(ctx context.Context, o *order, v fleet.Server, c spread.Choice, a *link.Response, err error) (caller.Reply, bool) {
+func (r *Router) judge(ctx context.Context, o *order, v fleet.Server, c spread.Choice, a *link.Response, err error) (caller.Response, bool) {
 	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
 	if link.KindOf(err) == link.ConnectionLost {
 		r.lost(o, v.ID)
@@ -186,7 +186,7 @@
 	}
 	if r.mayRepeat(ctx, o, notRun) && (!r.tried(o, notRun).Repeats() || r.spend(o)) {
 		r.logAttempt(o, v, c, a, err, "sent again")
-		return caller.Reply{}, true
+		return caller.Response{}, true
 	}
 	r.logAttempt(o, v, c, a, err, "given up")
 	return r.giveUp(o, c, reasonFailed, c.RetryAfter), false
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -19,7 +19,7 @@
 func TestRequestsWaitForTheFirstLists(t *testing.T) {
 	ask := func(ctx context.Context, r *Router) <-chan int {
 		status := make(chan int, 1)
-		q := caller.Request{Request: httptest.NewRequest(http.MethodGet, "http://other/", nil), Read: time.Now()}
+		q := caller.Request{Request: httptest.NewRequest(http.MethodGet, "http://other/", nil), ReadAt: time.Now()}
 		go func() { status <- r.handle(ctx, q).Status }()
 		return status
 	}
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -54,7 +54,7 @@
 // one is refused at once, so that its caller can do without the answer.
 func (r *Router) awaitOpen(ctx context.Context, o *order, changed <-chan struct{}) bool {
 	r.mu.Lock()
-	latest := o.Read.Add(o.route.LatencyTarget - r.spread.TypicalTime(o.need))
+	latest := o.ReadAt.Add(o.route.LatencyTarget - r.spread.TypicalTime(o.need))
 	r.mu.Unlock()
 	if o.opensBy.After(latest) || latest.After(o.deadline) {
 		return false
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -25,7 +25,7 @@
 // lookup is a request for a key with an aim.
 func lookup(aim time.Duration) *order {
 	now := time.Now()
-	return &order{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
+	return &order{Request: caller.Request{ReadAt: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
 		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: aim}, deadline: now.Add(2 * aim),
 		need: spread.Requirements{Route: "look", Aim: aim, ReceivedAt: now, Deadline: now.Add(2 * aim), LocalDataCentre: "x"}}
 }
--- a/io/process/router/late.go
+++ b/io/process/router/late.go
@@ -20,7 +20,7 @@
 
 // noteLate logs an answer that came after its aim.
 func (r *Router) noteLate(o *order, c spread.Choice, a *link.Response) {
-	took := time.Since(o.Read)
+	took := time.Since(o.ReadAt)
 	if took <= o.route.LatencyTarget {
 		return
 	}
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -158,7 +158,7 @@
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", v.ID, v.Born), ID: r.permits.lastID, Slots: v.Slots,
-		Work: work, Patience: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), Lasts: o.deadline.Sub(now) + answerMargin,
+		Work: work, Patience: r.spread.LatencyBudget(o.need) - now.Sub(o.ReadAt), Lasts: o.deadline.Sub(now) + answerMargin,
 	}, true
 }
 
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -10,7 +10,7 @@
 
 // giveUp tells the caller at once. 503 says that the request did not run, and
 // when to come back; 502 and 504 say nothing of that.
-func (r *Router) giveUp(o *order, c spread.Choice, reason string, after time.Duration) caller.Reply {
+func (r *Router) giveUp(o *order, c spread.Choice, reason string, after time.Duration) caller.Response {
 	if o.held != nil {
 		return r.answer(o, o.held)
 	}
@@ -34,8 +34,8 @@
 
 // refuseOrder refuses a request that was understood. That this try did not run says nothing
 // of an earlier one under the same id: its caller would book anew, under another.
-func (r *Router) refuseOrder(o *order, reason string, after time.Duration, grounds ...any) caller.Reply {
-	f := caller.Refusal{ID: o.id, Status: http.StatusServiceUnavailable, Reason: reason, After: after, MaybeRan: r.wasSent(o)}
+func (r *Router) refuseOrder(o *order, reason string, after time.Duration, grounds ...any) caller.Response {
+	f := caller.Refusal{ID: o.id, Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: after, MaybeRan: r.wasSent(o)}
 	if f.MaybeRan {
 		grounds = append(grounds, "earlierTry", "mayHaveRun")
 	}
@@ -43,10 +43,10 @@
 }
 
 // refuse tells a caller that a try did not run, and when to come back.
-func (r *Router) refuse(f caller.Refusal, route string, grounds ...any) caller.Reply {
-	f.After = max(f.After, minRetry)
+func (r *Router) refuse(f caller.Refusal, route string, grounds ...any) caller.Response {
+	f.RetryAfter = max(f.RetryAfter, minRetry)
 	r.meters.add("refused." + f.Reason)
-	r.log.Info("request: refused, not run", append([]any{"id", f.ID, "route", route, "reason", f.Reason, "retryAfter", f.After.String()}, grounds...)...)
+	r.log.Info("request: refused, not run", append([]any{"id", f.ID, "route", route, "reason", f.Reason, "retryAfter", f.RetryAfter.String()}, grounds...)...)
 	return r.refusal(f)
 }
 
@@ -55,12 +55,12 @@
 
 // plain is a final answer that asks nobody to come back. One of 500 and above
 // says that the request may have run.
-func (r *Router) plain(id string, status int, reason string) *caller.Reply {
+func (r *Router) plain(id string, status int, reason string) *caller.Response {
 	reply := r.refusal(caller.Refusal{ID: id, Status: status, Reason: reason, MaybeRan: status >= http.StatusInternalServerError})
 	return &reply
 }
 
-func (r *Router) refusal(f caller.Refusal) caller.Reply {
+func (r *Router) refusal(f caller.Refusal) caller.Response {
 	h, body := r.protocol.Refused(f)
-	return caller.Reply{Status: f.Status, Header: h, Body: body}
+	return caller.Response{Status: f.Status, Header: h, Body: body}
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -210,11 +210,11 @@
 	defer cancel()
 	r.log.Info("router: stop", "running", r.callers.Running())
 	r.ready.Store(false)
-	r.callers.Stop()
+	r.callers.BeginShutdown()
 	r.post(leavingMsg{})
 	sleep(ctx, lingerAfter)
 	_ = l.Close()
-	r.callers.Finish(ctx)
+	r.callers.Shutdown(ctx)
 	r.log.Info("router: stopped", "running", r.callers.Running(), "took", time.Since(began).String())
 	r.tomb.Kill(nil)
 	_ = r.mesh.Close()
@@ -297,11 +297,11 @@
 
 func (r *Router) callerLimits() caller.Limits {
 	l := r.current.Load().config.Limits
-	out := caller.Limits{HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes, Header: l.HeaderTimeout, Idle: l.IdleTimeout}
-	if out.HeaderBytes <= 0 {
-		out = caller.Limits{HeaderBytes: headerMost, BodyBytes: bodyMost, Header: headerWithin, Idle: idleMost}
+	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
+	if out.MaxHeaderBytes <= 0 {
+		out = caller.Limits{MaxHeaderBytes: headerMost, MaxBodyBytes: bodyMost, ReadTimeout: headerWithin, IdleTimeout: idleMost}
 		if r.settings.BodyMost > 0 {
-			out.BodyBytes = r.settings.BodyMost
+			out.MaxBodyBytes = r.settings.BodyMost
 		}
 	}
 	return out
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -119,7 +119,7 @@
 
 // outcomeLost answers a request that may have run at a holder which was lost. It will not
 // run under this id.
-func (r *Router) outcomeLost(o *order, server string) caller.Reply {
+func (r *Router) outcomeLost(o *order, server string) caller.Response {
 	r.meters.add("sent.lost")
 	r.log.Info("request: given up, may have run", "id", o.id, "route", o.route.Name, "reason", reasonLost, "service", o.service.Name, "key", o.key,
 		"server", server, "firstSentMillis", o.Header.Get(r.protocol.Names().FirstSent))
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -99,7 +99,7 @@
 		refused := func(id string) caller.Refusal {
 			reply := r.giveUp(booked(id), spread.Choice{}, string(moving), time.Second)
 			So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
-			So(was.After, ShouldEqual, time.Second)
+			So(was.RetryAfter, ShouldEqual, time.Second)
 			return was
 		}
 		So(refused("a").MaybeRan, ShouldBeFalse)
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -56,16 +56,16 @@
 }
 
 // serve answers one request and counts how it ended.
-func (r *Router) serve(ctx context.Context, q caller.Request) caller.Reply {
+func (r *Router) serve(ctx context.Context, q caller.Request) caller.Response {
 	reply := r.handle(ctx, q)
-	r.meters.observe(reply.Status, time.Since(q.Read))
+	r.meters.observe(reply.Status, time.Since(q.ReadAt))
 	return reply
 }
 
 // weighEnd counts how a request ended against its service level.
-func (r *Router) weighEnd(o *order, reply caller.Reply) {
+func (r *Router) weighEnd(o *order, reply caller.Response) {
 	kind := burn.Good
-	switch took := time.Since(o.Read); {
+	switch took := time.Since(o.ReadAt); {
 	case reply.Status == http.StatusServiceUnavailable:
 		kind = burn.Refused
 	case reply.Status >= http.StatusInternalServerError:
@@ -78,12 +78,12 @@
 	r.burn.Count(r.now(), o.service.Name, kind)
 }
 
-func (r *Router) handle(ctx context.Context, q caller.Request) caller.Reply {
+func (r *Router) handle(ctx context.Context, q caller.Request) caller.Response {
 	r.awaitBoot(ctx, q)
 	s := r.current.Load()
 	id := r.protocol.ID(q.Header)
 	if !s.configured {
-		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, After: notReadyRetry}, "")
+		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, RetryAfter: notReadyRetry}, "")
 	}
 	o, bad := r.understand(s, q, id)
 	if bad != nil {
@@ -96,7 +96,7 @@
 }
 
 // run serves a request that was understood.
-func (r *Router) run(ctx context.Context, o *order) caller.Reply {
+func (r *Router) run(ctx context.Context, o *order) caller.Response {
 	if r.crashes(o) {
 		return r.refuseOrder(o, reasonCrashes, crashKeep/4)
 	}
@@ -105,7 +105,7 @@
 }
 
 // understand finds what a request is about and how long it may take.
-func (r *Router) understand(s *snap, q caller.Request, id string) (*order, *caller.Reply) {
+func (r *Router) understand(s *snap, q caller.Request, id string) (*order, *caller.Response) {
 	route, ok := s.config.Match(q.Host, q.URL.EscapedPath(), q.Method)
 	if !ok {
 		r.log.Info("request: no route", "id", id, "host", q.Host, "path", q.URL.Path, "version", s.config.Version)
@@ -113,9 +113,9 @@
 	}
 	o := &order{Request: q, id: id, route: route, key: -1, target: strings.TrimPrefix(q.RequestURI, route.StripPrefix)}
 	o.service, _ = s.config.Service(route.PickService(r.draw()))
-	o.deadline = q.Read.Add(route.Timeout)
+	o.deadline = q.ReadAt.Add(route.Timeout)
 	if patience, ok := r.protocol.Patience(q.Header); ok && patience < route.Timeout {
-		o.deadline = q.Read.Add(patience)
+		o.deadline = q.ReadAt.Add(patience)
 	}
 	if o.service.Keyed {
 		if o.key, ok = r.protocol.Key(o.service, o.target, q.Header); !ok || o.key < 0 || o.key > grant.LastKey {
@@ -124,7 +124,7 @@
 		}
 	}
 	o.need = spread.Requirements{Route: route.Name, Service: o.service, Aim: route.LatencyTarget, Priority: route.Priority,
-		ReceivedAt: q.Read, Deadline: o.deadline, LocalDataCentre: r.settings.DataCentre}
+		ReceivedAt: q.ReadAt, Deadline: o.deadline, LocalDataCentre: r.settings.DataCentre}
 	return o, nil
 }
 
@@ -132,11 +132,11 @@
 func (o *order) attempts() int { return o.arrived + o.unsent }
 
 // answer is a server's answer as the caller gets it.
-func (r *Router) answer(o *order, a *link.Response) caller.Reply {
+func (r *Router) answer(o *order, a *link.Response) caller.Response {
 	h := a.Header
 	h.Del(r.protocol.Names().Load)
 	r.protocol.Answered(h, o.id, a.Server)
-	return caller.Reply{Status: a.Status, Header: h, Body: a.Body}
+	return caller.Response{Status: a.Status, Header: h, Body: a.Body}
 }
 
 // forwarded are the headers that go on to the server.
