--- a/io/connection/mesh/speed_test.go
+++ b/io/connection/mesh/benchmark_test.go
@@ -8,14 +8,14 @@
 )
 
 func BenchmarkCall(b *testing.B) {
-	answer := func(context.Context, *wire.Call) *wire.Reply {
+	handler := func(context.Context, *wire.Call) *wire.Reply {
 		return &wire.Reply{Permit: &wire.PermitReply{Granted: true}}
 	}
-	to, err := Listen("127.0.0.1:0", answer)
+	callee, err := Listen("127.0.0.1:0", handler)
 	if err != nil {
 		b.Fatal(err)
 	}
-	from, err := Listen("127.0.0.1:0", answer)
+	client, err := Listen("127.0.0.1:0", handler)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -23,11 +23,11 @@
 	for _, v := range []struct {
 		name string
 		call func(context.Context, string, *wire.Call) (*wire.Reply, error)
-	}{{"stream of its own", from.Call}, {"kept stream", from.Ask}} {
+	}{{"stream of its own", client.Call}, {"shared stream", client.CallShared}} {
 		b.Run(v.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := v.call(context.Background(), to.listener.Addr().String(), call); err != nil {
+				if _, err := v.call(context.Background(), callee.listener.Addr().String(), call); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/io/connection/mesh/doc.go
+++ b/io/connection/mesh/doc.go
@@ -1,5 +1,6 @@
-// Package mesh carries calls between daemons: one yamux session a pair of
-// hosts, one stream a call, protobuf messages with their length before them.
+// Package mesh carries calls between daemons. A daemon keeps one yamux session to each
+// daemon that it calls. A call uses a stream of its own, or takes its turn on a stream
+// that short calls share. Messages are length-prefixed protobuf.
 //
 // # Usage
 //
@@ -7,7 +8,7 @@
 //	reply, err := m.Call(ctx, "127.0.0.2:7100", call)
 //	defer m.Close()
 //
-// Errors are of type *Error. Kind Refused proves that no process listens at
-// the address; NotSent that the call was never written; Unsure that it may have
-// arrived.
+// Errors are of type *Error. The kind ConnectionRefused proves that no process listens
+// at the address, and NotSent that the call was not written. OutcomeUnknown means that
+// the call may have arrived.
 package mesh
--- a/io/connection/mesh/error.go
+++ b/io/connection/mesh/error.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Refused Kind = "refused"
-	NotSent Kind = "notSent"
-	Unsure  Kind = "unsure"
-	Remote  Kind = "remote" // the other daemon said no
-	Local   Kind = "local"  // the listener could not be opened
+	ConnectionRefused Kind = "refused" // no process listens at the address
+	NotSent           Kind = "notSent" // the call was not written
+	OutcomeUnknown    Kind = "unsure"  // the call may have arrived
+	Remote            Kind = "remote"  // the other daemon returned an error, or a reply that cannot be decoded
+	ListenerFailed    Kind = "local"   // the listener could not be opened, or failed
 )
 
 // Error is the error type of this package.
@@ -27,11 +27,11 @@
 // Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("mesh: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is tells whether an error is of this package and of a kind.
-func Is(err error, k Kind) bool {
+// IsKind reports whether an error is an *Error of a kind.
+func IsKind(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
 }
--- a/io/connection/mesh/mesh.go
+++ b/io/connection/mesh/mesh.go
@@ -22,75 +22,75 @@
 )
 
 const (
-	dialTimeout = 300 * time.Millisecond
-	// readAhead is how many bytes of a stream are read at once.
-	readAhead = 1024
-	// maxMessage holds the largest body with its headers, and any object.
-	maxMessage = 4 << 20
+	dialTimeout    = 300 * time.Millisecond
+	readBufferSize = 1024
+	// maxMessageSize is enough for the largest body with its headers, and for any object.
+	maxMessageSize = 4 << 20
 )
 
-// past is a deadline that ends what waits on a stream.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that ends all waiting reads and writes of a stream.
+var pastDeadline = time.Unix(1, 0)
 
-// keepAlive ends accepted connections whose other end is gone without a word,
-// as after a cut or a loss of power: nobody calls on them that could notice.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 3 * time.Second, Count: 3}
+// acceptedKeepAlive closes accepted connections whose other end has disappeared, as in a
+// network partition or a power failure. This daemon sends no calls on them, so that nothing
+// else would notice.
+var acceptedKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 3 * time.Second, Count: 3}
 
-// Handler answers a call, or returns nil for one that needs no reply. It must not keep the
-// call after it returned.
+// Handler returns the reply to a call, or nil if the call needs no reply. It must not use
+// the call after it has returned.
 type Handler func(ctx context.Context, call *wire.Call) *wire.Reply
 
-// Mesh is one daemon's end of all its connections to others.
+// Mesh holds a daemon's connections to and from other daemons.
 type Mesh struct {
 	tomb     tomb.Tomb
 	listener net.Listener
 	handler  Handler
-	pool     pool[*line]
+	pool     pool[*muxConn]
 
 	mu       sync.Mutex
-	accepted map[*line]bool
+	accepted map[*muxConn]bool
 }
 
-// Listen opens the address for calls of other daemons.
+// Listen returns a Mesh that accepts calls of other daemons at an address.
 func Listen(address string, handler Handler) (*Mesh, error) {
-	c := net.ListenConfig{KeepAliveConfig: keepAlive}
+	c := net.ListenConfig{KeepAliveConfig: acceptedKeepAlive}
 	l, err := c.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, &Error{Op: "listen", Kind: Local, Err: err}
+		return nil, &Error{Op: "listen", Kind: ListenerFailed, Err: err}
 	}
-	m := &Mesh{listener: l, handler: handler, accepted: map[*line]bool{}}
+	m := &Mesh{listener: l, handler: handler, accepted: map[*muxConn]bool{}}
 	m.pool.open = m.dial
 	m.tomb.Go(m.accept)
 	return m, nil
 }
 
-// Call sends a call and waits for its reply until the context ends.
+// Call sends a call on a new stream and waits for its reply until the context ends.
 func (m *Mesh) Call(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
-	began := time.Now()
-	l, err := m.pool.get(ctx, address)
+	beganAt := time.Now()
+	mc, err := m.pool.get(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	stream, err := l.OpenStream()
+	stream, err := mc.OpenStream()
 	if err != nil {
-		m.pool.drop(address, l)
+		m.pool.drop(address, mc)
 		return nil, &Error{Op: "call", Kind: NotSent, Err: err}
 	}
-	defer stream.Close() //nolint:errcheck // the reply is here, or there is none
-	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(past) })
+	defer stream.Close() //nolint:errcheck // the reply has been read, or there is none
+	stop := context.AfterFunc(ctx, func() { _ = stream.SetDeadline(pastDeadline) })
 	defer stop()
-	if err := write(stream, call); err != nil {
-		m.pool.drop(address, l)
-		return nil, &Error{Op: "call", Kind: Unsure, Err: err}
+	if err := writeMessage(stream, call); err != nil {
+		m.pool.drop(address, mc)
+		return nil, &Error{Op: "call", Kind: OutcomeUnknown, Err: err}
 	}
 	reply := &wire.Reply{}
-	if err := read(bufio.NewReaderSize(stream, readAhead), reply); err != nil {
-		if l.IsClosed() || l.silentSince(began.Add(time.Since(began)/2)) {
-			m.pool.drop(address, l) // bytes that came early in the wait prove little
+	if err := readMessage(bufio.NewReaderSize(stream, readBufferSize), reply); err != nil {
+		if mc.IsClosed() || mc.silentSince(beganAt.Add(time.Since(beganAt)/2)) {
+			m.pool.drop(address, mc) // bytes from the first half of the wait do not show that the connection still works
 		}
-		return nil, &Error{Op: "call", Kind: Unsure, Err: errors.Join(err, ctx.Err())}
+		return nil, &Error{Op: "call", Kind: OutcomeUnknown, Err: errors.Join(err, ctx.Err())}
 	}
-	if reply, err = unpack(reply); err != nil {
+	if reply, err = decompress(reply); err != nil {
 		return nil, &Error{Op: "call", Kind: Remote, Err: err}
 	}
 	if reply.Error != "" {
@@ -99,7 +99,7 @@
 	return reply, nil
 }
 
-// Close ends all connections and waits for the handlers.
+// Close closes the listener and all connections, and waits for the handlers.
 func (m *Mesh) Close() error {
 	m.tomb.Kill(nil)
 	_ = m.listener.Close()
@@ -107,94 +107,94 @@
 	m.mu.Lock()
 	accepted := slices.Collect(maps.Keys(m.accepted))
 	m.mu.Unlock()
-	for _, l := range accepted {
-		_ = l.Close()
+	for _, mc := range accepted {
+		_ = mc.Close()
 	}
 	return m.tomb.Wait()
 }
 
-func (m *Mesh) dial(ctx context.Context, address string) (*line, error) {
+func (m *Mesh) dial(ctx context.Context, address string) (*muxConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		kind := NotSent
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			kind = Refused
+			kind = ConnectionRefused
 		}
 		return nil, &Error{Op: "dial", Kind: kind, Err: err}
 	}
-	l, err := newLine(conn, yamux.Client)
+	mc, err := newMuxConn(nc, yamux.Client)
 	if err != nil {
 		return nil, &Error{Op: "dial", Kind: NotSent, Err: err}
 	}
-	return l, nil
+	return mc, nil
 }
 
 func (m *Mesh) accept() error {
 	for {
-		conn, err := m.listener.Accept()
+		nc, err := m.listener.Accept()
 		if err != nil {
 			if !m.tomb.Alive() {
 				return nil
 			}
-			return &Error{Op: "accept", Kind: Local, Err: err}
+			return &Error{Op: "accept", Kind: ListenerFailed, Err: err}
 		}
-		l, err := newLine(conn, yamux.Server)
+		mc, err := newMuxConn(nc, yamux.Server)
 		if err != nil {
 			continue
 		}
 		m.mu.Lock()
-		m.accepted[l] = true
+		m.accepted[mc] = true
 		m.mu.Unlock()
-		m.tomb.Go(func() error { return m.serve(l) })
+		m.tomb.Go(func() error { return m.serveConn(mc) })
 	}
 }
 
-// serve answers the calls of one line. Who drops the line stops waiting: its
-// calls' contexts end with it.
-func (m *Mesh) serve(l *line) error {
+// serveConn handles the calls on an accepted connection. The contexts of the calls are
+// cancelled when the connection ends, since nobody waits for the replies then.
+func (m *Mesh) serveConn(mc *muxConn) error {
 	ctx, cancel := context.WithCancel(m.tomb.Context(context.Background()))
 	defer func() {
 		cancel()
 		m.mu.Lock()
-		delete(m.accepted, l)
+		delete(m.accepted, mc)
 		m.mu.Unlock()
-		_ = l.Close()
+		_ = mc.Close()
 	}()
 	for {
-		stream, err := l.AcceptStream()
+		stream, err := mc.AcceptStream()
 		if err != nil {
-			return nil // the other side has gone, or we close
+			return nil // the connection was closed by either side
 		}
-		m.tomb.Go(func() error { return m.answer(ctx, stream) })
+		m.tomb.Go(func() error { return m.serveStream(ctx, stream) })
 	}
 }
 
-func (m *Mesh) answer(ctx context.Context, stream *yamux.Stream) error {
-	defer stream.Close() //nolint:errcheck // the caller sees a missing reply
-	calls := bufio.NewReaderSize(stream, readAhead)
+func (m *Mesh) serveStream(ctx context.Context, stream *yamux.Stream) error {
+	defer stream.Close() //nolint:errcheck // the calling daemon sees that the reply is missing
+	reader := bufio.NewReaderSize(stream, readBufferSize)
 	for {
 		call := &wire.Call{}
-		if err := read(calls, call); err != nil {
-			return nil // no more calls, or half a one, which has no answer
+		if err := readMessage(reader, call); err != nil {
+			return nil // no more calls, or an incomplete one, which gets no reply
 		}
 		reply := m.handler(ctx, call)
 		if reply == nil {
 			continue
 		}
-		if err := write(stream, pack(reply)); err != nil {
-			return nil // the caller sees a missing reply
+		if err := writeMessage(stream, compress(reply)); err != nil {
+			return nil // the calling daemon sees that the reply is missing
 		}
 	}
 }
 
-func read(r *bufio.Reader, m proto.Message) error {
-	return protodelim.UnmarshalOptions{MaxSize: maxMessage}.UnmarshalFrom(r, m)
+func readMessage(r *bufio.Reader, m proto.Message) error {
+	return protodelim.UnmarshalOptions{MaxSize: maxMessageSize}.UnmarshalFrom(r, m)
 }
 
-// write writes a message and its length at once: each write is a frame of its own.
-func write(w io.Writer, m proto.Message) error {
+// writeMessage writes a length and a message in one write, since each write becomes a frame.
+func writeMessage(w io.Writer, m proto.Message) error {
 	var b bytes.Buffer
 	if _, err := protodelim.MarshalTo(&b, m); err != nil {
 		return err
--- a/io/connection/mesh/mesh_test.go
+++ b/io/connection/mesh/mesh_test.go
@@ -26,14 +26,14 @@
 
 func (m *Mesh) address() string { return m.listener.Addr().String() }
 
-func status(daemon string) *wire.Reply {
+func statusReply(daemon string) *wire.Reply {
 	return &wire.Reply{Status: &wire.StatusReply{Daemon: daemon}}
 }
 
 func TestCall(t *testing.T) {
 	call := &wire.Call{Kind: &wire.Call_Status{Status: &wire.Status{}}}
 	Convey("Calls share a session and get their own replies", t, func() {
-		b := listen(func(_ context.Context, c *wire.Call) *wire.Reply { return status(c.GetFetch().GetKind()) })
+		b := listen(func(_ context.Context, c *wire.Call) *wire.Reply { return statusReply(c.GetFetch().GetKind()) })
 		a := listen(nil)
 		defer a.Close() //nolint:errcheck // the test is over
 		defer b.Close() //nolint:errcheck // the test is over
@@ -43,11 +43,11 @@
 			So(r.Status.Daemon, ShouldEqual, name)
 		}
 	})
-	Convey("Nobody at the address is distinguished from no reply", t, func() {
-		stuck := make(chan struct{})
+	Convey("A refused connection is distinguished from a missing reply", t, func() {
+		cancelled := make(chan struct{})
 		b := listen(func(ctx context.Context, _ *wire.Call) *wire.Reply {
 			<-ctx.Done()
-			close(stuck)
+			close(cancelled)
 			return &wire.Reply{}
 		})
 		a := listen(nil)
@@ -55,75 +55,75 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		_, err := a.Call(ctx, b.address(), call)
-		So(Is(err, Unsure), ShouldBeTrue)
-		<-stuck // the other side learns that nobody waits any more
+		So(IsKind(err, OutcomeUnknown), ShouldBeTrue)
+		<-cancelled // the context of the handler is cancelled, since nobody waits for the reply
 		address := b.address()
 		So(b.Close(), ShouldBeNil)
-		_, err = callUntilClear(a, address, call)
-		So(Is(err, Refused), ShouldBeTrue)
+		_, err = callUntilOutcomeKnown(a, address, call)
+		So(IsKind(err, ConnectionRefused), ShouldBeTrue)
 	})
 }
 
-// callUntilClear calls until the broken session is noticed.
-func callUntilClear(m *Mesh, address string, call *wire.Call) (*wire.Reply, error) {
+// callUntilOutcomeKnown repeats a call until the broken session has been detected.
+func callUntilOutcomeKnown(m *Mesh, address string, call *wire.Call) (*wire.Reply, error) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		r, err := m.Call(ctx, address, call)
 		cancel()
-		if !Is(err, Unsure) && !Is(err, NotSent) {
+		if !IsKind(err, OutcomeUnknown) && !IsKind(err, NotSent) {
 			return r, err
 		}
 	}
 }
 
-// order notes which of a line's two ends was closed first.
-type order struct {
+// closeRecorder records whether the connection was closed before the session.
+type closeRecorder struct {
 	net.Conn
-	first atomic.Bool // the connection, before the session
-	line  *line
+	connClosedFirst atomic.Bool // set by Close
+	muxConn         *muxConn
 }
 
-func (o *order) Close() error {
-	if o.line != nil {
+func (r *closeRecorder) Close() error {
+	if r.muxConn != nil {
 		select {
-		case <-o.line.CloseChan():
+		case <-r.muxConn.CloseChan():
 		default:
-			o.first.Store(true)
+			r.connClosedFirst.Store(true)
 		}
 	}
-	return o.Conn.Close()
+	return r.Conn.Close()
 }
 
-// Guards against a stopped daemon whose waiting readers keep the processor.
-func TestLineEndsByItsConnection(t *testing.T) {
-	Convey("The connection closes first, and waiting readers end", t, func() {
-		near, far := net.Pipe()
-		defer far.Close() //nolint:errcheck // the test is over
-		o := &order{Conn: near}
-		l, err := newLine(o, yamux.Client)
+// Guards against readers of a closed session that spin and keep a stopping daemon from exiting.
+func TestConnectionClosesBeforeSession(t *testing.T) {
+	Convey("The connection is closed before the session, and waiting readers return", t, func() {
+		local, remote := net.Pipe()
+		defer remote.Close() //nolint:errcheck // the test is over
+		recorder := &closeRecorder{Conn: local}
+		mc, err := newMuxConn(recorder, yamux.Client)
 		So(err, ShouldBeNil)
-		o.line = l
-		go func() { _, _ = io.Copy(io.Discard, far) }()
-		stream, err := l.OpenStream()
+		recorder.muxConn = mc
+		go func() { _, _ = io.Copy(io.Discard, remote) }()
+		stream, err := mc.OpenStream()
 		So(err, ShouldBeNil)
-		ended := make(chan error, 1)
+		readEnded := make(chan error, 1)
 		go func() {
 			_, err := stream.Read(make([]byte, 1))
-			ended <- err
+			readEnded <- err
 		}()
-		So(l.Close(), ShouldBeNil)
-		So(<-ended, ShouldNotBeNil)
-		So(o.first.Load(), ShouldBeTrue)
-		So(l.IsClosed(), ShouldBeTrue)
+		So(mc.Close(), ShouldBeNil)
+		So(<-readEnded, ShouldNotBeNil)
+		So(recorder.connClosedFirst.Load(), ShouldBeTrue)
+		So(mc.IsClosed(), ShouldBeTrue)
 	})
 }
 
-// Guards against a large configuration that never arrives over a narrow link.
-func TestLargeAnswers(t *testing.T) {
+// Guards against a large configuration that does not arrive in time over a slow link.
+func TestLargeReplies(t *testing.T) {
 	item := func(n int) *wire.Delta {
 		return &wire.Delta{Items: []*wire.Item{{Name: "main", Value: bytes.Repeat([]byte("/route-of-some-service/"), n)}}}
 	}
-	Convey("They come whole, and much smaller on the way", t, func() {
+	Convey("A large reply arrives unchanged and is compressed on the way", t, func() {
 		b := listen(func(context.Context, *wire.Call) *wire.Reply { return &wire.Reply{Delta: item(30000)} })
 		defer b.Close() //nolint:errcheck // the test is over
 		a := listen(nil)
@@ -131,41 +131,41 @@
 		r, err := a.Call(context.Background(), b.address(), &wire.Call{Kind: &wire.Call_Fetch{Fetch: &wire.Fetch{}}})
 		So(err, ShouldBeNil)
 		So(proto.Equal(r.Delta, item(30000)), ShouldBeTrue)
-		packed := pack(&wire.Reply{Delta: item(30000)})
-		So(proto.Size(packed), ShouldBeLessThan, proto.Size(r)/10)
-		So(pack(&wire.Reply{Delta: item(1)}).Packed, ShouldBeEmpty)
+		compressed := compress(&wire.Reply{Delta: item(30000)})
+		So(proto.Size(compressed), ShouldBeLessThan, proto.Size(r)/10)
+		So(compress(&wire.Reply{Delta: item(1)}).Packed, ShouldBeEmpty)
 	})
-	Convey("One that unfolds beyond all bounds is refused", t, func() {
-		r := &wire.Reply{Error: strings.Repeat("x", maxMessage+1)}
-		_, err := unpack(pack(r))
-		So(err, ShouldEqual, errTooLarge)
+	Convey("A reply that exceeds the maximum size when decompressed is refused", t, func() {
+		r := &wire.Reply{Error: strings.Repeat("x", maxMessageSize+1)}
+		_, err := decompress(compress(r))
+		So(err, ShouldEqual, errReplyTooLarge)
 	})
-	Convey("A line on which bytes come is kept when a call behind them times out", t, func() {
-		near, far := net.Pipe()
-		defer far.Close() //nolint:errcheck // the test is over
-		l, err := newLine(near, yamux.Client)
+	Convey("A connection that receives bytes is not silent, so that a call that times out does not drop it", t, func() {
+		local, remote := net.Pipe()
+		defer remote.Close() //nolint:errcheck // the test is over
+		mc, err := newMuxConn(local, yamux.Client)
 		So(err, ShouldBeNil)
-		defer l.Close() //nolint:errcheck // the test is over
-		began := time.Now()
-		So(l.silentSince(began), ShouldBeTrue)
-		_, err = far.Write([]byte{0})
+		defer mc.Close() //nolint:errcheck // the test is over
+		beganAt := time.Now()
+		So(mc.silentSince(beganAt), ShouldBeTrue)
+		_, err = remote.Write([]byte{0})
 		So(err, ShouldBeNil)
-		for l.silentSince(began) {
+		for mc.silentSince(beganAt) {
 			time.Sleep(time.Millisecond)
 		}
-		So(l.IsClosed(), ShouldBeFalse)
+		So(mc.IsClosed(), ShouldBeFalse)
 	})
 }
 
-// Guards against calls on a connection that has fallen silent.
-func TestSilentLineIsDropped(t *testing.T) {
-	Convey("The next call opens a new line", t, func() {
-		var answers atomic.Bool
+// Guards against further calls on a connection from which nothing is received any more.
+func TestSilentConnectionIsDropped(t *testing.T) {
+	Convey("The connection is dropped, and the next call opens a new one", t, func() {
+		var respond atomic.Bool
 		b := listen(func(ctx context.Context, _ *wire.Call) *wire.Reply {
-			if !answers.Load() {
+			if !respond.Load() {
 				<-ctx.Done()
 			}
-			return status("b")
+			return statusReply("b")
 		})
 		defer b.Close() //nolint:errcheck // the test is over
 		a := listen(nil)
@@ -176,9 +176,9 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 		defer cancel()
 		_, err = a.Call(ctx, b.address(), call)
-		So(Is(err, Unsure), ShouldBeTrue)
+		So(IsKind(err, OutcomeUnknown), ShouldBeTrue)
 		So(first.IsClosed(), ShouldBeTrue)
-		answers.Store(true)
+		respond.Store(true)
 		_, err = a.Call(context.Background(), b.address(), call)
 		So(err, ShouldBeNil)
 	})
--- a/io/connection/mesh/pool.go
+++ b/io/connection/mesh/pool.go
@@ -5,83 +5,83 @@
 	"sync"
 )
 
-// session is what a pool keeps open.
+// session is what a pool manages.
 type session interface {
 	comparable
 	IsClosed() bool
 	Close() error
 }
 
-// pool keeps one open session for each address. Only one caller opens it; the
-// others wait for that one.
+// pool keeps one open session for each address. Concurrent callers share the attempt to
+// open it.
 type pool[S session] struct {
 	open func(ctx context.Context, address string) (S, error)
 
-	mu     sync.Mutex
-	slots  map[string]*slot[S]
-	closed bool
+	mu      sync.Mutex
+	entries map[string]*poolEntry[S]
+	closed  bool
 }
 
-type slot[S session] struct {
+type poolEntry[S session] struct {
 	ready chan struct{}
-	s     S
+	value S
 	err   error
 }
 
 func (p *pool[S]) get(ctx context.Context, address string) (S, error) {
-	var none S
+	var zero S
 	p.mu.Lock()
-	if p.slots == nil {
-		p.slots = map[string]*slot[S]{}
+	if p.entries == nil {
+		p.entries = map[string]*poolEntry[S]{}
 	}
-	have, ok := p.slots[address]
+	e, ok := p.entries[address]
 	if ok {
 		select {
-		case <-have.ready:
-			if have.err == nil && !have.s.IsClosed() {
+		case <-e.ready:
+			if e.err == nil && !e.value.IsClosed() {
 				p.mu.Unlock()
-				return have.s, nil
+				return e.value, nil
 			}
 			ok = false
 		default:
 		}
 	}
 	if !ok {
-		have = &slot[S]{ready: make(chan struct{})}
-		p.slots[address] = have
-		go p.fill(address, have)
+		e = &poolEntry[S]{ready: make(chan struct{})}
+		p.entries[address] = e
+		go p.openEntry(address, e)
 	}
 	p.mu.Unlock()
 	select {
-	case <-have.ready:
-		return have.s, have.err
+	case <-e.ready:
+		return e.value, e.err
 	case <-ctx.Done():
-		return none, &Error{Op: "dial", Kind: NotSent, Err: ctx.Err()}
+		return zero, &Error{Op: "dial", Kind: NotSent, Err: ctx.Err()}
 	}
 }
 
-// fill opens a session on nobody's deadline in particular, since others than
-// the first caller wait for it too.
-func (p *pool[S]) fill(address string, s *slot[S]) {
-	s.s, s.err = p.open(context.Background(), address)
+// openEntry opens a session. It does not use the first caller's context, since other
+// callers may be waiting for the session too.
+func (p *pool[S]) openEntry(address string, e *poolEntry[S]) {
+	e.value, e.err = p.open(context.Background(), address)
 	p.mu.Lock()
 	closed := p.closed
 	p.mu.Unlock()
-	close(s.ready)
-	if closed && s.err == nil {
-		_ = s.s.Close()
+	close(e.ready)
+	if closed && e.err == nil {
+		_ = e.value.Close()
 	}
 }
 
 func (p *pool[S]) drop(address string, s S) {
 	p.mu.Lock()
-	if have, ok := p.slots[address]; ok {
+	if e, ok := p.entries[address]; ok {
 		select {
-		case <-have.ready:
-			if have.s == s {
-				delete(p.slots, address)
+		case <-e.ready:
+			if e.value == s {
+				delete(p.entries, address)
 			}
-		default: // a new one is being opened already
+		default: // a new session is already being opened
 		}
 	}
 	p.mu.Unlock()
@@ -92,11 +92,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, s := range p.slots {
+	for _, e := range p.entries {
 		select {
-		case <-s.ready:
-			if s.err == nil {
-				_ = s.s.Close()
+		case <-e.ready:
+			if e.err == nil {
+				_ = e.value.Close()
 			}
 		default:
 		}
--- a/io/process/router/answer.go
+++ b/io/process/router/answer.go
@@ -19,7 +19,7 @@
 // askShort is call for a short question that is asked often.
 func (r *Router) askShort(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
 	r.meters.addBytes(bytesOut, call)
-	reply, err := r.mesh.Ask(ctx, address, call)
+	reply, err := r.mesh.CallShared(ctx, address, call)
 	if err == nil {
 		r.meters.addBytes(bytesIn, reply)
 	}
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -137,7 +137,7 @@
 	r.post(calledMsg{address: address})
 	if err != nil {
 		var e *mesh.Error
-		if errors.As(err, &e) && e.Kind == mesh.Refused {
+		if errors.As(err, &e) && e.Kind == mesh.ConnectionRefused {
 			r.post(refusedMsg{address: address})
 		}
 		r.post(missedMsg{address: address})
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -224,7 +224,7 @@
 		defer cancel()
 		call := &wire.Call{Kind: &wire.Call_PermitEnd{PermitEnd: m}}
 		r.meters.addBytes(bytesOut, call)
-		if err := r.mesh.Tell(ctx, p.issuer, call); err != nil {
+		if err := r.mesh.Notify(ctx, p.issuer, call); err != nil {
 			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.server, "err", err)
 		}
 	}()
