--- a/io/connection/plat/plat.go
+++ b/io/connection/plat/plat.go
@@ -15,14 +15,14 @@
 	"golang.org/x/time/rate"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Conflict    Kind = "conflict"
-	Unsure      Kind = "unsure"
-	Unreachable Kind = "unreachable"
+	Conflict       Kind = "conflict"    // the object has another version
+	OutcomeUnknown Kind = "unsure"      // the write may have taken effect
+	Unreachable    Kind = "unreachable" // any other failure
 )
 
 // Error is the error type of this package.
@@ -35,58 +35,58 @@
 // Error implements the error interface.
 func (e *Error) Error() string { return fmt.Sprintf("platform: %s: %s: %v", e.Op, e.Kind, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is tells whether an error is of this package and of a kind.
-func Is(err error, k Kind) bool {
+// IsKind reports whether an error is an *Error of a kind.
+func IsKind(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
 }
 
 const (
-	// callTimeout is far above the platform's ordinary milliseconds; a call
-	// that takes longer counts as failed and is followed by a backoff.
+	// callTimeout is far above the few milliseconds that a call normally takes. A call that
+	// takes longer has failed, and is followed by a backoff.
 	callTimeout = 2 * time.Second
-	// callsPerSecond and callBurst bound one daemon's calls whatever happens.
+	// callsPerSecond and callBurst limit the calls of a daemon under all circumstances.
 	callsPerSecond = 20
 	callBurst      = 40
-	maxObject      = 1 << 20
+	maxObjectSize  = 1 << 20
 )
 
-// Object is an object with the version that the platform gave it.
+// Object is an object with its version, which the platform assigns.
 type Object struct {
 	Name    string
 	Version uint64
 	Value   []byte
 }
 
-// Changes are objects that changed after a revision, each as it is now.
+// Changes are the objects that changed after a revision, in their current state.
 type Changes struct {
-	// Revision is the platform's; the next question starts from it.
+	// Revision is the platform's current revision, from which the next watch continues.
 	Revision uint64
 	Objects  []Object
 }
 
-// Client is one daemon's access to the platform. It is safe for concurrent use.
+// Client calls the object API for one daemon. It is safe for concurrent use.
 type Client struct {
-	base       string
+	baseURL    string
 	dataCentre string
-	http       *http.Client
-	limit      *rate.Limiter
+	httpClient *http.Client
+	limiter    *rate.Limiter
 }
 
-// New returns a client of the platform at an IP number with a port.
+// New returns a client of the platform at an address, which is an IP address with a port.
 func New(address, dataCentre string) *Client {
 	return &Client{
-		base:       "http://" + address,
+		baseURL:    "http://" + address,
 		dataCentre: dataCentre,
-		http:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}},
-		limit:      rate.NewLimiter(callsPerSecond, callBurst),
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}},
+		limiter:    rate.NewLimiter(callsPerSecond, callBurst),
 	}
 }
 
-// Read returns an object, or nil when there is none of that name.
+// Read returns an object, or nil if there is no object with the name.
 func (c *Client) Read(ctx context.Context, name string) (*Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -96,7 +96,7 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		v, err := version(resp)
+		v, err := objectVersion(resp)
 		if err != nil {
 			return nil, &Error{Op: "read " + name, Kind: Unreachable, Err: err}
 		}
@@ -107,8 +107,8 @@
 	return nil, &Error{Op: "read " + name, Kind: Unreachable, Err: errors.New(resp.Status)}
 }
 
-// Write makes a conditional update; ifVersion 0 means that the object must not
-// exist yet. It returns the object with its new version.
+// Write writes an object if its version is ifVersion; 0 means that it must not exist yet.
+// It returns the object with its new version.
 func (c *Client) Write(ctx context.Context, name string, ifVersion uint64, value []byte) (*Object, error) {
 	op := "write " + name
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -116,25 +116,25 @@
 	header := http.Header{"If-Match": {strconv.FormatUint(ifVersion, 10)}}
 	resp, _, err := c.call(ctx, http.MethodPut, "/objects/"+name, value, header) //nolint:bodyclose // call has read and closed it
 	if err != nil {
-		return nil, &Error{Op: op, Kind: Unsure, Err: err}
+		return nil, &Error{Op: op, Kind: OutcomeUnknown, Err: err}
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		v, err := version(resp)
+		v, err := objectVersion(resp)
 		if err != nil {
-			return nil, &Error{Op: op, Kind: Unsure, Err: err}
+			return nil, &Error{Op: op, Kind: OutcomeUnknown, Err: err}
 		}
 		return &Object{Name: name, Version: v, Value: value}, nil
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return nil, &Error{Op: op, Kind: Conflict, Err: fmt.Errorf("it is no longer at version %d", ifVersion)}
+		return nil, &Error{Op: op, Kind: Conflict, Err: fmt.Errorf("object is no longer at version %d", ifVersion)}
 	case resp.StatusCode >= 500:
-		return nil, &Error{Op: op, Kind: Unsure, Err: errors.New(resp.Status)}
+		return nil, &Error{Op: op, Kind: OutcomeUnknown, Err: errors.New(resp.Status)}
 	}
 	return nil, &Error{Op: op, Kind: Unreachable, Err: errors.New(resp.Status)}
 }
 
-// watched is the answer of one watch.
-type watched struct {
+// watchResponse is the response to a watch.
+type watchResponse struct {
 	Revision uint64          `json:"revision"`
 	Objects  []watchedObject `json:"objects"`
 }
@@ -145,10 +145,10 @@
 	Value   []byte `json:"value"`
 }
 
-// Changed waits until objects whose names begin with a prefix change after a
-// revision, and returns without any after a while. From revision 0 on it returns
-// all of them at once; with no time to wait it never waits.
-func (c *Client) Changed(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
+// Watch waits until objects whose names have a prefix change after a revision, and returns
+// them, or none after the time to wait. After revision 0, it returns all such objects at
+// once. With a wait of zero, it returns without waiting.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
 	op := "watch " + prefix
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -160,7 +160,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Changes{}, &Error{Op: op, Kind: Unreachable, Err: errors.New(resp.Status)}
 	}
-	var w watched
+	var w watchResponse
 	if err := json.Unmarshal(body, &w); err != nil {
 		return Changes{}, &Error{Op: op, Kind: Unreachable, Err: err}
 	}
@@ -171,18 +171,18 @@
 	return out, nil
 }
 
-// call makes one call, within the budget. A call that the budget holds back
-// past its deadline fails without having been sent.
+// call makes a call within the rate limit. If the limit delays it beyond its deadline, it
+// fails without having been sent.
 func (c *Client) call(ctx context.Context, method, path string, body []byte, header http.Header) (*http.Response, []byte, error) {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, nil)
 	if err != nil {
 		return nil, nil, err
 	}
 	if body != nil {
-		// No GetBody: the transport must never send a write a second time.
+		// GetBody is not set, so that the transport cannot send a write a second time.
 		req.Body = io.NopCloser(bytes.NewReader(body))
 		req.ContentLength = int64(len(body))
 	}
@@ -190,19 +190,19 @@
 		req.Header[k] = v
 	}
 	req.Header.Set("Catkinstep-Data-Centre", c.dataCentre)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer resp.Body.Close() //nolint:errcheck // all that counts has been read
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 32*maxObject))
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
+	data, err := io.ReadAll(io.LimitReader(resp.Body, 32*maxObjectSize))
 	return resp, data, err
 }
 
-func version(resp *http.Response) (uint64, error) {
+func objectVersion(resp *http.Response) (uint64, error) {
 	v, err := strconv.ParseUint(resp.Header.Get("Catkinstep-Version"), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("no version in the answer: %w", err)
+		return 0, fmt.Errorf("no version in the response: %w", err)
 	}
 	return v, nil
 }
--- a/io/connection/plat/plat_test.go
+++ b/io/connection/plat/plat_test.go
@@ -12,7 +12,7 @@
 	"catkinstep/io/standin/store"
 )
 
-func platform() (*store.Store, *plat.Client, func()) {
+func startPlatform() (*store.Store, *plat.Client, func()) {
 	s := store.New()
 	h := httptest.NewServer(s)
 	return s, plat.New(h.Listener.Addr().String(), "duluth"), h.Close
@@ -20,8 +20,8 @@
 
 func TestObjects(t *testing.T) {
 	ctx := context.Background()
-	Convey("Objects are written on the condition of their version", t, func() {
-		_, c, stop := platform()
+	Convey("An object is written only if its version matches", t, func() {
+		_, c, stop := startPlatform()
 		defer stop()
 		o, err := c.Read(ctx, "site")
 		So(o, ShouldBeNil)
@@ -29,44 +29,44 @@
 		first, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(err, ShouldBeNil)
 		_, err = c.Write(ctx, "site", 0, []byte("b"))
-		So(plat.Is(err, plat.Conflict), ShouldBeTrue)
+		So(plat.IsKind(err, plat.Conflict), ShouldBeTrue)
 		second, err := c.Write(ctx, "site", first.Version, []byte("b"))
 		So(err, ShouldBeNil)
 		So(second.Version, ShouldBeGreaterThan, first.Version)
 	})
-	Convey("A write whose reply was lost is reported as unsure, and was made once", t, func() {
-		s, c, stop := platform()
+	Convey("A write whose response was lost has an unknown outcome, and is not retried", t, func() {
+		s, c, stop := startPlatform()
 		defer stop()
 		s.SetFaults(store.Faults{LoseReplies: 1})
 		_, err := c.Write(ctx, "site", 0, []byte("a"))
-		So(plat.Is(err, plat.Unsure), ShouldBeTrue)
+		So(plat.IsKind(err, plat.OutcomeUnknown), ShouldBeTrue)
 		value, version := s.Value("site")
 		So(string(value), ShouldEqual, "a")
 		So(version, ShouldEqual, 1)
 	})
-	Convey("A data centre that is cut off reaches nothing, the others do", t, func() {
-		s, c, stop := platform()
+	Convey("The platform can be unreachable for one data centre only", t, func() {
+		s, c, stop := startPlatform()
 		defer stop()
 		s.SetFaults(store.Faults{DownFor: []string{"duluth"}})
 		_, err := c.Read(ctx, "site")
-		So(plat.Is(err, plat.Unreachable), ShouldBeTrue)
+		So(plat.IsKind(err, plat.Unreachable), ShouldBeTrue)
 		s.SetFaults(store.Faults{DownFor: []string{"toledo"}})
 		_, err = c.Read(ctx, "site")
 		So(err, ShouldBeNil)
 	})
-	Convey("A watch tells of what is there and of each change, as one waiting call", t, func() {
-		s, c, stop := platform()
+	Convey("A watch returns the existing objects, then waits for a change in a single call", t, func() {
+		s, c, stop := startPlatform()
 		defer stop()
 		first, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(err, ShouldBeNil)
 		_, err = c.Write(ctx, "daemons/d", 0, []byte("elsewhere"))
 		So(err, ShouldBeNil)
-		got, err := c.Changed(ctx, "site", 0, 0)
+		got, err := c.Watch(ctx, "site", 0, 0)
 		So(err, ShouldBeNil)
 		So(got.Objects, ShouldResemble, []plat.Object{{Name: "site", Version: first.Version, Value: []byte("a")}})
 		later := make(chan plat.Changes, 1)
 		go func() {
-			next, _ := c.Changed(ctx, "site", got.Revision, 3*time.Second)
+			next, _ := c.Watch(ctx, "site", got.Revision, 3*time.Second)
 			later <- next
 		}()
 		for s.Calls()["watch duluth"] < 2 {
@@ -79,12 +79,12 @@
 		So(string(next.Objects[0].Value), ShouldEqual, "b")
 		So(s.Calls()["watch duluth"], ShouldEqual, 2)
 	})
-	Convey("A watch that hears nothing ends, and says up to when", t, func() {
-		_, c, stop := platform()
+	Convey("A watch without changes returns after its wait, with the current revision", t, func() {
+		_, c, stop := startPlatform()
 		defer stop()
 		first, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(err, ShouldBeNil)
-		got, err := c.Changed(ctx, "site", first.Version, 20*time.Millisecond)
+		got, err := c.Watch(ctx, "site", first.Version, 20*time.Millisecond)
 		So(err, ShouldBeNil)
 		So(got.Objects, ShouldBeEmpty)
 		So(got.Revision, ShouldEqual, first.Version)
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -67,7 +67,7 @@
 	switch {
 	case err == nil:
 		return accepted(next, o.Version), nil
-	case plat.Is(err, plat.Conflict):
+	case plat.IsKind(err, plat.Conflict):
 		return lost(ctx, p, next)
 	}
 	return settle(ctx, p, next, version, err)
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -30,7 +30,7 @@
 
 // List returns all objects of a kind, always as they are.
 func (s *Store) List(ctx context.Context, kind news.Kind, _ bool) (news.Delta, error) {
-	c, err := s.client.Changed(ctx, prefixes[kind], 0, 0)
+	c, err := s.client.Watch(ctx, prefixes[kind], 0, 0)
 	if err != nil {
 		return news.Delta{}, unreachable("list "+string(kind), err)
 	}
@@ -41,7 +41,7 @@
 
 // Watch waits for changes after a revision.
 func (s *Store) Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error) {
-	c, err := s.client.Changed(ctx, prefixes[kind], since, wait)
+	c, err := s.client.Watch(ctx, prefixes[kind], since, wait)
 	if err != nil {
 		return news.Delta{}, unreachable("watch "+string(kind), err)
 	}
@@ -69,9 +69,9 @@
 	switch {
 	case err == nil:
 		return news.Item{Name: name, Revision: o.Version, Value: value}, nil
-	case plat.Is(err, plat.Unsure):
+	case plat.IsKind(err, plat.OutcomeUnknown):
 		return news.Item{}, &news.Error{Op: op, Kind: news.Unsure, Err: err}
-	case !plat.Is(err, plat.Conflict):
+	case !plat.IsKind(err, plat.Conflict):
 		return news.Item{}, unreachable(op, err)
 	}
 	it, rerr := s.Read(ctx, kind, name)
