--- a/io/connection/link/error.go
+++ b/io/connection/link/error.go
@@ -11,11 +11,11 @@
 
 // Kinds of errors.
 const (
-	ConnectionRefused Kind = "refused" // nothing accepts connections at the address
+	ConnectionRefused Kind = "refused" // the address refuses connections
 	NotSent           Kind = "notSent" // no byte of the request was written
 	ConnectFailed     Kind = "noWay"   // no connection could be established in time
 	ConnectionLost    Kind = "unsure"  // the connection broke before the response header was complete
-	InvalidResponse   Kind = "cut"     // the response is incomplete, malformed, too large or not to this request
+	InvalidResponse   Kind = "cut"     // the response is incomplete, malformed or too large, or belongs to another request
 	ContextDone       Kind = "late"    // the context ended before the response was complete
 )
 
--- a/io/connection/link/link.go
+++ b/io/connection/link/link.go
@@ -19,8 +19,9 @@
 	// dialTimeout bounds the attempt to connect to a host that is down and sends no
 	// reply at all. Connecting normally takes about a millisecond.
 	dialTimeout = 300 * time.Millisecond
-	// maxIdleTime is the maximum time that a connection stays idle before it is no longer
-	// reused. Servers were observed to close idle connections after ten seconds.
+	// maxIdleTime is how long an idle connection is reused at most, also if the server
+	// announces no idle timeout. It is below the ten seconds after which servers were
+	// observed to close idle connections.
 	maxIdleTime = 4 * time.Second
 	// idleTimeMargin is subtracted from the idle timeout that a server announces. The
 	// server starts its timer at another moment, and a request must not be sent while
@@ -32,8 +33,8 @@
 	readBufferSize = 2048
 )
 
-// Client sends requests to one instance of a server and pools its connections. It is
-// safe for concurrent use.
+// Client sends requests to one instance of a server, up to its restart, and pools the
+// connections to it. It is safe for concurrent use.
 type Client struct {
 	address  string
 	instance string
--- a/io/connection/mesh/mesh.go
+++ b/io/connection/mesh/mesh.go
@@ -85,8 +85,9 @@
 	}
 	reply := &wire.Reply{}
 	if err := readMessage(bufio.NewReaderSize(stream, readBufferSize), reply); err != nil {
+		// Bytes from the first half of the wait do not show that the connection still works.
 		if mc.IsClosed() || mc.silentSince(beganAt.Add(time.Since(beganAt)/2)) {
-			m.pool.drop(address, mc) // bytes from the first half of the wait do not show that the connection still works
+			m.pool.drop(address, mc)
 		}
 		return nil, &Error{Op: "call", Kind: OutcomeUnknown, Err: errors.Join(err, ctx.Err())}
 	}
