--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -78,7 +78,7 @@
 }
 
 // Result sorts the answer to either call.
-func (Protocol) Result(a *link.Answer) (r grant.Result, handover string) {
+func (Protocol) Result(a *link.Response) (r grant.Result, handover string) {
 	switch {
 	case a.Status == http.StatusOK:
 		return grant.Done, a.Header.Get(names.Default().Handover)
@@ -94,7 +94,7 @@
 
 func post(path, address string, k Keys) link.Request {
 	body, _ := json.Marshal(k) // numbers and a string always marshal
-	return link.Request{Method: http.MethodPost, Target: path, Host: address, Body: body, Control: true,
+	return link.Request{Method: http.MethodPost, Target: path, Host: address, Body: body, ControlCall: true,
 		Header: http.Header{"Content-Type": {"application/json"}}}
 }
 
@@ -151,9 +151,9 @@
 		out.Ran = OutcomeUnknown
 	}
 	h := http.Header{"Content-Type": {"application/json"}}
-	if f.After > 0 {
-		out.RetryAfter = f.After.Round(time.Millisecond).String()
-		h.Set("Retry-After", strconv.Itoa(max(1, int((f.After+time.Second-1)/time.Second))))
+	if f.RetryAfter > 0 {
+		out.RetryAfter = f.RetryAfter.Round(time.Millisecond).String()
+		h.Set("Retry-After", strconv.Itoa(max(1, int((f.RetryAfter+time.Second-1)/time.Second))))
 	}
 	h.Set(names.Default().ID, f.ID)
 	h.Set(HeaderOutcome, out.Ran)
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -39,7 +39,7 @@
 
 // comeBack is when a caller may return whose request the holder of its key did not
 // run: when the range has another holder, or the queue is shorter.
-func (r *Router) comeBack(o *order, v fleet.Server, a *link.Answer) time.Duration {
+func (r *Router) comeBack(o *order, v fleet.Server, a *link.Response) time.Duration {
 	g, _ := r.current.Load().table.RangeOf(o.service.Name, o.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 // one is refused at once, so that its caller can do without the answer.
 func (r *Router) awaitOpen(ctx context.Context, o *order, changed <-chan struct{}) bool {
 	r.mu.Lock()
-	latest := o.Read.Add(o.route.LatencyTarget - r.spread.TypicalTime(o.need))
+	latest := o.ReadAt.Add(o.route.LatencyTarget - r.spread.TypicalTime(o.need))
 	r.mu.Unlock()
 	if o.opensBy.After(latest) || latest.After(o.deadline) {
 		return false
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -158,7 +158,7 @@
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", v.ID, v.StartMillis), ID: r.permits.lastID, Slots: v.Slots,
-		ServiceTime: work, MaxLatency: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), TTL: o.deadline.Sub(now) + answerMargin,
+		ServiceTime: work, MaxLatency: r.spread.LatencyBudget(o.need) - now.Sub(o.ReadAt), TTL: o.deadline.Sub(now) + answerMargin,
 	}, true
 }
 
@@ -224,7 +224,7 @@
 		defer cancel()
 		call := &wire.Call{Kind: &wire.Call_PermitEnd{PermitEnd: m}}
 		r.meters.addBytes(bytesOut, call)
-		if err := r.mesh.Tell(ctx, p.issuer, call); err != nil {
+		if err := r.mesh.Notify(ctx, p.issuer, call); err != nil {
 			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.server, "err", err)
 		}
 	}()
