--- a/io/process/router/answer.go
+++ b/io/process/router/answer.go
@@ -59,9 +59,9 @@
 		case <-ctx.Done():
 		}
 	case *wire.Call_Permit:
-		return &wire.Reply{Permit: r.issue(k.Permit)}
+		return &wire.Reply{Permit: r.issuePermit(k.Permit)}
 	case *wire.Call_PermitEnd:
-		r.permitEnded(k.PermitEnd)
+		r.handlePermitEnd(k.PermitEnd)
 		return nil
 	case *wire.Call_Status:
 		if s, ok := r.ownStatus(ctx); ok {
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -14,131 +14,137 @@
 	"catkinstep/io/connection/link"
 )
 
-// attempt sends the request until an answer counts or nothing more may be done.
-func (r *Router) attempt(ctx context.Context, o *order) caller.Reply {
+// sendWithRetries makes attempts until one yields the reply or no further attempt is
+// allowed.
+func (r *Router) sendWithRetries(ctx context.Context, req *request) caller.Reply {
 	for {
 		if ctx.Err() != nil {
-			return *r.plain(o.id, http.StatusBadGateway, reasonLeft)
+			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerLeft)
 		}
-		changed := *r.opened.Load()
-		v, c := r.choose(o)
-		if c.Reason == moving && r.awaitOpen(ctx, o, changed) {
+		tableChanged := *r.opened.Load()
+		server, choice := r.chooseServer(req)
+		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableChanged) {
 			continue
 		}
-		if !c.Refused() || c.RefusalUncertain() {
-			c = r.askPermit(ctx, o, v, c)
+		if !choice.Refused() || choice.RefusalUncertain() {
+			choice = r.ensurePermit(ctx, req, server, choice)
 		}
-		if c.Reason == contendedNow && o.tryOther(v) {
+		if choice.Reason == reasonServerContended && req.tryOtherServer(server) {
 			continue
 		}
-		if c.Refused() {
-			return r.giveUp(o, c, string(c.Reason), c.RetryAfter)
+		if choice.Refused() {
+			return r.giveUp(req, choice, string(choice.Reason), choice.RetryAfter)
 		}
-		a, err := r.send(ctx, o, v)
-		r.endPermit(o)
+		a, err := r.send(ctx, req, server)
+		r.releasePermit(req)
 		if err != nil && link.NotRun(err) {
-			o.unsent++
+			req.unsent++
 		} else {
-			o.arrived++
+			req.arrived++
 		}
-		reply, again := r.judge(ctx, o, v, c, a, err)
-		if !again {
+		reply, sendAgain := r.evaluateAttempt(ctx, req, server, choice, a, err)
+		if !sendAgain {
 			return reply
 		}
-		o.failedAt(v, a)
+		req.excludeFailed(server, a)
 	}
 }
 
-// failedAt leaves a server out of the next attempts, unless it may well answer the
-// next one: it declined with slots free, or it is the only one that holds the key.
-func (o *order) failedAt(v fleet.Server, a *link.Answer) {
-	if o.key >= 0 || a != nil && declined(a) {
+// excludeFailed excludes a server from further attempts after a failed one. It keeps a
+// server that declined with free slots, which may well accept the next attempt, and the
+// holder of the request's key, which has no alternative.
+func (req *request) excludeFailed(server fleet.Server, a *link.Answer) {
+	if req.key >= 0 || a != nil && declinedWithFreeSlots(a) {
 		return
 	}
-	o.need.Excluded = append(o.need.Excluded, v.ID)
+	req.requirements.Excluded = append(req.requirements.Excluded, server.ID)
 }
 
-// declined tells whether a server did not run a request although it says that it
-// has slots free: it may well run it if asked again at once.
-func declined(a *link.Answer) bool {
+// declinedWithFreeSlots reports whether a server did not run a request although it reports
+// free slots. It is likely to accept an immediate retry.
+func declinedWithFreeSlots(a *link.Answer) bool {
 	return a.NotRun && a.Status != http.StatusMisdirectedRequest && a.Load != nil && a.Load.Running < a.Load.Slots
 }
 
-// choose finds the server for the next attempt.
-func (r *Router) choose(o *order) (fleet.Server, spread.Choice) {
-	s := r.current.Load()
+// chooseServer chooses the server for the next attempt.
+func (r *Router) chooseServer(req *request) (fleet.Server, spread.Choice) {
+	snap := r.current.Load()
 	now := time.Now()
-	if o.key >= 0 {
-		return r.owner(s, o, now)
+	if req.key >= 0 {
+		return r.chooseHolder(snap, req, now)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.spread.Choose(now, o.need, s.serving[o.service.Name])
-	if !c.Refused() || c.RefusalUncertain() {
-		o.began = now
-		r.spread.Begin(now, c.Server, o.need)
+	choice := r.spread.Choose(now, req.requirements, snap.serving[req.service.Name])
+	if !choice.Refused() || choice.RefusalUncertain() {
+		req.attemptStart = now
+		r.spread.Begin(now, choice.Server, req.requirements)
 	}
-	return c.Server, c
+	return choice.Server, choice
 }
 
-// owner finds the only server that may run a request with a key.
-func (r *Router) owner(s *snap, o *order, now time.Time) (fleet.Server, spread.Choice) {
-	g, ok := s.table.Owner(o.service.Name, o.key)
-	v, found := s.fleet.Find(g.Holder.Server)
-	lives := found && v.Born == g.Holder.Born
+// chooseHolder returns the holder of the request's key, the only server that may run it, or
+// a refusal.
+func (r *Router) chooseHolder(snap *snapshot, req *request, now time.Time) (fleet.Server, spread.Choice) {
+	keyRange, ok := snap.table.Owner(req.service.Name, req.key)
+	server, found := snap.fleet.Find(keyRange.Holder.Server)
+	holderAlive := found && server.Born == keyRange.Holder.Born
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if back, ok := r.admitted(o, now); !ok {
-		return v, spread.Choice{Server: v, Reason: overloaded, RetryAfter: back}
+	if retryAfter, ok := r.admit(req, now); !ok {
+		return server, spread.Choice{Server: server, Reason: reasonKeyOverloaded, RetryAfter: retryAfter}
 	}
-	if !ok || !g.Open() || !lives || !s.mayServe(v) {
-		return v, r.closedChoice(now, o, g, lives)
+	if !ok || !keyRange.Open() || !holderAlive || !snap.mayServe(server) {
+		return server, r.closedRangeChoice(now, req, keyRange, holderAlive)
 	}
-	c := r.spread.Evaluate(now, o.need, v)
-	if !c.Refused() || c.RefusalUncertain() {
-		o.began = now
-		r.spread.Begin(now, v, o.need)
+	choice := r.spread.Evaluate(now, req.requirements, server)
+	if !choice.Refused() || choice.RefusalUncertain() {
+		req.attemptStart = now
+		r.spread.Begin(now, server, req.requirements)
 	}
-	return v, c
+	return server, choice
 }
 
-// send makes one attempt. An idempotent request ends with its caller; another
-// goes on, since breaking it off would leave its outcome unknown for nothing.
-func (r *Router) send(ctx context.Context, o *order, v fleet.Server) (*link.Answer, error) {
-	if !r.keepsIDs(o) {
-		return r.exchange(ctx, o, v)
+// send makes one attempt, and records the request as sent if the holder of its key
+// deduplicates it.
+func (r *Router) send(ctx context.Context, req *request, server fleet.Server) (*link.Answer, error) {
+	if !r.holderDeduplicates(req) {
+		return r.exchange(ctx, req, server)
 	}
-	first, again := r.noteSent(o)
-	a, err := r.exchange(ctx, o, v)
-	r.noteEnd(ctx, first, again, a, err)
+	record, repeated := r.recordSent(req)
+	a, err := r.exchange(ctx, req, server)
+	r.recordSentOutcome(ctx, record, repeated, a, err)
 	return a, err
 }
 
-func (r *Router) exchange(ctx context.Context, o *order, v fleet.Server) (*link.Answer, error) {
-	if !o.route.Idempotent {
+// exchange sends the request to a server and waits for the answer. It stops when the caller
+// leaves only if the request is idempotent: cancelling any other request would leave its
+// outcome unknown without need.
+func (r *Router) exchange(ctx context.Context, req *request, server fleet.Server) (*link.Answer, error) {
+	if !req.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	left := time.Until(o.deadline) - wayBack
-	ctx, cancel := context.WithDeadline(ctx, o.deadline.Add(answerMargin))
+	timeLeft := time.Until(req.deadline) - wayBack
+	ctx, cancel := context.WithDeadline(ctx, req.deadline.Add(answerMargin))
 	defer cancel()
-	a, err := r.links.of(v).Do(ctx, link.Request{
-		Method: o.Method, Target: o.target, Host: o.Host, Header: r.forwarded(o), Body: o.Body, ID: o.id, Left: left,
+	a, err := r.links.of(server).Do(ctx, link.Request{
+		Method: req.Method, Target: req.target, Host: req.Host, Header: r.forwardedHeader(req), Body: req.Body, ID: req.id, Left: timeLeft,
 	})
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.End(now, v, o.need, o.began, outcome(ctx, a, err), report(a))
+	r.spread.End(now, server, req.requirements, req.attemptStart, attemptOutcome(ctx, a, err), loadReport(a))
 	return a, err
 }
 
-func report(a *link.Answer) *spread.Report {
+func loadReport(a *link.Answer) *spread.Report {
 	if a == nil || a.Load == nil {
 		return nil
 	}
 	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Slowdown: a.Load.Pace}
 }
 
-func outcome(ctx context.Context, a *link.Answer, err error) spread.Outcome {
+func attemptOutcome(ctx context.Context, a *link.Answer, err error) spread.Outcome {
 	switch {
 	case err != nil && link.KindOf(err) == link.Refused:
 		return spread.ConnectionRefused
@@ -158,77 +164,79 @@
 	return spread.Answered
 }
 
-// judge decides what an attempt's end means for the caller.
-func (r *Router) judge(ctx context.Context, o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error) (caller.Reply, bool) {
+// evaluateAttempt handles the end of an attempt. It returns the reply to the caller, or true
+// if the request is to be sent again.
+func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, a *link.Answer, err error) (caller.Reply, bool) {
 	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
 	if link.KindOf(err) == link.Unsure {
-		r.lost(o, v.ID)
+		r.recordLoss(req, server.ID)
 	}
 	switch {
 	case err == nil && a.Lost:
-		return r.outcomeLost(o, v.ID), false
-	case err == nil && !a.NotRun && r.isAnswer(a):
-		r.answered(o)
-		if a.Status < http.StatusInternalServerError || !r.mayRepeat(ctx, o, false) {
+		return r.replyOutcomeLost(req, server.ID), false
+	case err == nil && !a.NotRun && r.isServerAnswer(a):
+		r.clearSuspicion(req)
+		if a.Status < http.StatusInternalServerError || !r.mayRetry(ctx, req, false) {
 			if a.Status >= http.StatusInternalServerError {
-				r.logAttempt(o, v, c, a, nil, "passed on")
+				r.logFailedAttempt(req, server, choice, a, nil, "passed on")
 			} else {
-				r.noteLate(o, c, a)
+				r.logLateAnswer(req, choice, a)
 			}
-			return r.answer(o, a), false
+			return r.callerReply(req, a), false
 		}
-		o.held, o.maybeRan = a, true
+		req.fallbackAnswer, req.maybeRan = a, true
 	case !notRun:
-		o.maybeRan = true
+		req.maybeRan = true
 	}
-	if notRun && o.key >= 0 && err == nil && !declined(a) {
-		return r.giveUp(o, c, reasonNotHeld, r.comeBack(o, v, a)), false
+	if notRun && req.key >= 0 && err == nil && !declinedWithFreeSlots(a) {
+		return r.giveUp(req, choice, reasonNotHeldOrFull, r.retryAfterNotRun(req, server, a)), false
 	}
-	if r.mayRepeat(ctx, o, notRun) && (!r.tried(o, notRun).UsesBudget() || r.spend(o)) {
-		r.logAttempt(o, v, c, a, err, "sent again")
+	if r.mayRetry(ctx, req, notRun) && (!r.retryState(req, notRun).UsesBudget() || r.withdrawRetry(req)) {
+		r.logFailedAttempt(req, server, choice, a, err, "sent again")
 		return caller.Reply{}, true
 	}
-	r.logAttempt(o, v, c, a, err, "given up")
-	return r.giveUp(o, c, reasonFailed, c.RetryAfter), false
+	r.logFailedAttempt(req, server, choice, a, err, "given up")
+	return r.giveUp(req, choice, reasonAttemptFailed, choice.RetryAfter), false
 }
 
-// isAnswer tells a server's own answer from what something else wrote.
-func (r *Router) isAnswer(a *link.Answer) bool {
+// isServerAnswer reports whether an answer comes from the server itself and not from something
+// else in its place: a status below 300 only counts with the signature header.
+func (r *Router) isServerAnswer(a *link.Answer) bool {
 	return a.Status >= http.StatusMultipleChoices || a.Header.Get(r.protocol.Names().Signature) != ""
 }
 
-// mayRepeat tells whether another attempt is allowed and can still help.
-func (r *Router) mayRepeat(ctx context.Context, o *order, notRun bool) bool {
-	return ctx.Err() == nil && r.tried(o, notRun).Retryable()
+// mayRetry reports whether another attempt is allowed and can still succeed in time.
+func (r *Router) mayRetry(ctx context.Context, req *request, notRun bool) bool {
+	return ctx.Err() == nil && r.retryState(req, notRun).Retryable()
 }
 
-// tried is what is known of the attempts so far, the last of which failed.
-func (r *Router) tried(o *order, notRun bool) retry.State {
-	return retry.State{Idempotent: o.route.Idempotent, NotRun: notRun, MaybeRan: o.maybeRan, Arrived: o.arrived, Unsent: o.unsent,
-		CrashSuspect: r.crashes(o), MaxAttempts: o.route.MaxAttempts, TimeLeft: time.Until(o.deadline), MinLatency: r.leastWorth(o)}
+// retryState describes the attempts so far, the last of which failed.
+func (r *Router) retryState(req *request, notRun bool) retry.State {
+	return retry.State{Idempotent: req.route.Idempotent, NotRun: notRun, MaybeRan: req.maybeRan, Arrived: req.arrived, Unsent: req.unsent,
+		CrashSuspect: r.checkCrashSuspect(req), MaxAttempts: req.route.MaxAttempts, TimeLeft: time.Until(req.deadline), MinLatency: r.minRetryLatency(req)}
 }
 
-func (r *Router) logAttempt(o *order, v fleet.Server, c spread.Choice, a *link.Answer, err error, then string) {
+func (r *Router) logFailedAttempt(req *request, server fleet.Server, choice spread.Choice, a *link.Answer, err error, decision string) {
 	status := 0
 	if a != nil {
 		status = a.Status
 	}
-	r.meters.add("attempts." + strings.ReplaceAll(then, " ", ""))
-	r.log.Info("request: attempt failed", "id", o.id, "route", o.route.Name, "key", o.key, "attempt", o.attempts(), "server", v.ID,
-		"expected", c.ExpectedTime.String(), "left", time.Until(o.deadline).String(), "status", status, "err", err, "then", then)
+	r.meters.increment("attempts." + strings.ReplaceAll(decision, " ", ""))
+	r.log.Info("request: attempt failed", "id", req.id, "route", req.route.Name, "key", req.key, "attempt", req.attempts(), "server", server.ID,
+		"expected", choice.ExpectedTime.String(), "left", time.Until(req.deadline).String(), "status", status, "err", err, "then", decision)
 }
 
-// leastWorth is the time below which another attempt cannot be expected to end:
-// most answers take at least half of the usual time.
-func (r *Router) leastWorth(o *order) time.Duration {
+// minRetryLatency returns the shortest time in which another attempt can be expected to
+// end: most answers take at least half of the typical time.
+func (r *Router) minRetryLatency(req *request) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spread.TypicalTime(o.need) / 2
+	return r.spread.TypicalTime(req.requirements) / 2
 }
 
-// spend takes one repeat out of the shared budget.
-func (r *Router) spend(o *order) bool {
+// withdrawRetry takes one retry from the service's budget, and reports whether one was left.
+func (r *Router) withdrawRetry(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budgets[o.service.Name].TryWithdraw()
+	return r.budgets[req.service.Name].TryWithdraw()
 }
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -8,25 +8,27 @@
 	"catkinstep/io/connection/caller"
 )
 
-// awaitBoot keeps a request while this daemon reads what it needs to serve any.
-func (r *Router) awaitBoot(ctx context.Context, q caller.Request) {
+// awaitBoot blocks a request while this daemon reads the lists that it needs to serve any, for
+// a limited time.
+func (r *Router) awaitBoot(ctx context.Context, callerReq caller.Request) {
 	select {
 	case <-r.booted:
 		return
 	default:
 	}
-	patience, _ := r.protocol.Patience(q.Header)
-	wait := time.NewTimer(r.boot.MaxWait(r.now(), patience))
-	defer wait.Stop()
+	callerTimeout, _ := r.protocol.Patience(callerReq.Header)
+	timer := time.NewTimer(r.boot.MaxWait(r.now(), callerTimeout))
+	defer timer.Stop()
 	select {
 	case <-r.booted:
-	case <-wait.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// booted notes that a first list was read, and lets the requests go that wait for it.
-func (c *control) booted(now time.Time, kind news.Kind) {
+// recordLoaded records that the first list of a kind was read. Once the boot phase is done, it
+// releases the waiting requests.
+func (c *control) recordLoaded(now time.Time, kind news.Kind) {
 	select {
 	case <-c.r.booted:
 		return
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -15,8 +15,9 @@
 	"catkinstep/io/connection/caller"
 )
 
-// Guards against refusals by a daemon that is about to read the configuration.
-func TestRequestsWaitForTheFirstLists(t *testing.T) {
+// Guards against refusals by a daemon that has just started and will have read its
+// configuration in a moment.
+func TestRequestsWaitForBoot(t *testing.T) {
 	ask := func(ctx context.Context, r *Router) <-chan int {
 		status := make(chan int, 1)
 		q := caller.Request{Request: httptest.NewRequest(http.MethodGet, "http://other/", nil), Read: time.Now()}
@@ -26,7 +27,7 @@
 	list := func(r *Router, kind news.Kind, items ...news.Item) {
 		r.control.update(t0, deltaMsg{delta: news.Delta{Kind: kind, Items: items, Through: 9, At: t0}})
 	}
-	Convey("They are decided by what was read", t, func() {
+	Convey("Requests wait until all lists are read", t, func() {
 		r := still()
 		status := ask(context.Background(), r)
 		v, err := json.Marshal(config.Config{Version: 4})
@@ -42,17 +43,17 @@
 		So(<-status, ShouldEqual, http.StatusNotFound)
 		So(<-ask(context.Background(), r), ShouldEqual, http.StatusNotFound)
 	})
-	Convey("They are refused soon if nothing can be read", t, func() {
+	Convey("Requests are refused after a limited time if nothing can be read", t, func() {
 		r := still()
 		status := ask(context.Background(), r)
 		r.control.update(second(2), tickMsg{})
 		So(<-status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("They end with their callers", t, func() {
+	Convey("The wait ends when the caller leaves", t, func() {
 		r := still()
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		status := ask(ctx, r)
-		leave()
+		cancel()
 		So(<-status, ShouldEqual, http.StatusServiceUnavailable)
 	})
 }
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -11,60 +11,60 @@
 	"catkinstep/io/connection/link"
 )
 
-// moving is why a request for a key cannot go anywhere now: its range is on its
-// way to another holder.
-const moving spread.Reason = "keyMoving"
+// reasonKeyMoving means that no server may run requests for a key at present, since its range
+// is moving to another holder.
+const reasonKeyMoving spread.Reason = "keyMoving"
 
-// tableChanged notes which ranges have closed and opened, and wakes the requests that
-// wait for one.
-func (r *Router) tableChanged(now time.Time, t grant.Table) {
-	f := r.current.Load().fleet
+// recordTableChange records which ranges were closed or opened by a new table, and wakes the
+// requests that wait for a range.
+func (r *Router) recordTableChange(now time.Time, t grant.Table) {
+	servers := r.current.Load().fleet
 	r.mu.Lock()
-	r.gaps.Observe(now, t, func(h grant.Holder) bool {
-		v, ok := f.Find(h.Server)
-		return ok && v.Born == h.Born
+	r.gaps.Observe(now, t, func(holder grant.Holder) bool {
+		server, ok := servers.Find(holder.Server)
+		return ok && server.Born == holder.Born
 	})
 	r.mu.Unlock()
 	close(*r.opened.Swap(new(make(chan struct{}))))
 }
 
-// closedChoice is the refusal of a request whose range is closed: with the time in which
-// the range is likely to open, so that the caller neither comes too early and is
-// refused once more, nor misses it. The caller must hold the lock.
-func (r *Router) closedChoice(now time.Time, o *order, g grant.Range, holderLives bool) spread.Choice {
-	e := r.gaps.Opens(r.now(), o.service.Name, g, holderLives)
-	o.opensBy = now.Add(e.Surely)
-	return spread.Choice{Reason: moving, RetryAfter: e.Likely}
+// closedRangeChoice refuses a request whose range is closed. The refusal asks the caller to
+// retry when the range has probably opened: an earlier retry would be refused again, a later
+// one would waste time. r.mu must be held.
+func (r *Router) closedRangeChoice(now time.Time, req *request, keyRange grant.Range, holderAlive bool) spread.Choice {
+	estimate := r.gaps.Opens(r.now(), req.service.Name, keyRange, holderAlive)
+	req.rangeOpensBy = now.Add(estimate.Surely)
+	return spread.Choice{Reason: reasonKeyMoving, RetryAfter: estimate.Likely}
 }
 
-// comeBack is when a caller may return whose request the holder of its key did not
-// run: when the range has another holder, or the queue is shorter.
-func (r *Router) comeBack(o *order, v fleet.Server, a *link.Answer) time.Duration {
-	g, _ := r.current.Load().table.Owner(o.service.Name, o.key)
+// retryAfterNotRun returns when to retry a request that the holder of its key did not run:
+// when the range has another holder, or when the queue is shorter.
+func (r *Router) retryAfterNotRun(req *request, server fleet.Server, a *link.Answer) time.Duration {
+	keyRange, _ := r.current.Load().table.Owner(req.service.Name, req.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Status == http.StatusMisdirectedRequest {
-		return r.gaps.Opens(r.now(), o.service.Name, g, true).Likely
+		return r.gaps.Opens(r.now(), req.service.Name, keyRange, true).Likely
 	}
-	return r.spread.Evaluate(time.Now(), o.need, v).RetryAfter
+	return r.spread.Evaluate(time.Now(), req.requirements, server).RetryAfter
 }
 
-// awaitOpen waits for a change of the table, and tells whether one came. A request waits
-// only where its range surely opens early enough to answer it within its aim; another
-// one is refused at once, so that its caller can do without the answer.
-func (r *Router) awaitOpen(ctx context.Context, o *order, changed <-chan struct{}) bool {
+// awaitRangeOpen waits for a new table, and reports whether one came. A request only waits if
+// its range certainly opens early enough for an answer within the target latency. Any other
+// request is refused at once, so that its caller can proceed without the answer.
+func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableChanged <-chan struct{}) bool {
 	r.mu.Lock()
-	latest := o.Read.Add(o.route.LatencyTarget - r.spread.TypicalTime(o.need))
+	latestStart := req.Read.Add(req.route.LatencyTarget - r.spread.TypicalTime(req.requirements))
 	r.mu.Unlock()
-	if o.opensBy.After(latest) || latest.After(o.deadline) {
+	if req.rangeOpensBy.After(latestStart) || latestStart.After(req.deadline) {
 		return false
 	}
-	wait := time.NewTimer(time.Until(latest))
-	defer wait.Stop()
+	timer := time.NewTimer(time.Until(latestStart))
+	defer timer.Stop()
 	select {
-	case <-changed:
+	case <-tableChanged:
 		return true
-	case <-wait.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -13,8 +13,8 @@
 	"catkinstep/io/connection/caller"
 )
 
-// onTheWay is a table whose only range is closed or open.
-func onTheWay(seq uint64, closed bool) grant.Table {
+// tableWithRange returns a table with a single range, which is closed or open.
+func tableWithRange(seq uint64, closed bool) grant.Table {
 	g := grant.Range{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}
 	if closed {
 		g.Next = grant.Holder{Server: "b", Born: 1, Address: "b"}
@@ -22,71 +22,74 @@
 	return grant.Table{Epoch: 1, Seq: seq, Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{g}}}}
 }
 
-// lookup is a request for a key with an aim.
-func lookup(aim time.Duration) *order {
+// lookupRequest returns an idempotent request for a key, with a target latency.
+func lookupRequest(aim time.Duration) *request {
 	now := time.Now()
-	return &order{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
+	return &request{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
 		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: aim}, deadline: now.Add(2 * aim),
-		need: spread.Requirements{Route: "look", Aim: aim, ReceivedAt: now, Deadline: now.Add(2 * aim), LocalDataCentre: "x"}}
+		requirements: spread.Requirements{Route: "look", Aim: aim, ReceivedAt: now, Deadline: now.Add(2 * aim), LocalDataCentre: "x"}}
 }
 
-// moved makes a router that saw ranges of a service closed for so long.
-func moved(took time.Duration) *Router {
+// routerAfterMoves returns a router that has seen several moves of a range, each of which
+// closed it for the given time.
+func routerAfterMoves(closedFor time.Duration) *Router {
 	r := still()
 	r.now = func() time.Time { return second(100) }
 	r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6))
 	for i := range 9 {
-		begin := second(float64(2 + 10*i))
-		r.control.applyTable(begin, onTheWay(uint64(2*i+1), true))
-		r.control.applyTable(begin.Add(took), onTheWay(uint64(2*i+2), false))
+		closedAt := second(float64(2 + 10*i))
+		r.control.applyTable(closedAt, tableWithRange(uint64(2*i+1), true))
+		r.control.applyTable(closedAt.Add(closedFor), tableWithRange(uint64(2*i+2), false))
 	}
 	return r
 }
 
-// Guards against callers that are asked back before their key's range opens, and refused once more.
-func TestTimeToComeBackIsThatOfMoves(t *testing.T) {
-	Convey("Callers of a planned move come back when such moves have ended", t, func() {
-		r := moved(900 * time.Millisecond)
-		r.control.applyTable(second(100), onTheWay(90, true))
-		_, c := r.owner(r.current.Load(), lookup(time.Second), time.Now())
-		So(c.Reason, ShouldEqual, moving)
+// Guards against callers that are asked to retry before their key's range opens, and are refused
+// again.
+func TestRetryAfterOfClosedRanges(t *testing.T) {
+	Convey("During a planned move, callers retry after the usual duration of a move", t, func() {
+		r := routerAfterMoves(900 * time.Millisecond)
+		r.control.applyTable(second(100), tableWithRange(90, true))
+		_, c := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
+		So(c.Reason, ShouldEqual, reasonKeyMoving)
 		So(c.RetryAfter, ShouldEqual, 900*time.Millisecond)
 	})
-	Convey("Those of a lost holder come back when its grant has run out", t, func() {
+	Convey("After the loss of a holder, callers retry when its grant has expired", t, func() {
 		r := still()
 		r.now = func() time.Time { return second(100) }
-		r.control.applyTable(second(100), onTheWay(90, true))
-		_, c := r.owner(r.current.Load(), lookup(time.Second), time.Now())
+		r.control.applyTable(second(100), tableWithRange(90, true))
+		_, c := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
 		So(c.RetryAfter, ShouldBeGreaterThan, 2*time.Second)
 	})
 }
 
-// Guards against refusals although a range opens in time, and against waiting although it does not.
-func TestRequestsWaitForARangeThatOpensInTime(t *testing.T) {
-	start := func(aim time.Duration) (*Router, *order, spread.Choice) {
-		r := moved(100 * time.Millisecond)
-		r.control.applyTable(second(100), onTheWay(90, true))
-		o := lookup(aim)
-		_, c := r.owner(r.current.Load(), o, time.Now())
-		return r, o, c
+// Guards against the refusal of a request whose range opens in time, and against waiting for one
+// that does not.
+func TestAwaitRangeOpen(t *testing.T) {
+	start := func(aim time.Duration) (*Router, *request, spread.Choice) {
+		r := routerAfterMoves(100 * time.Millisecond)
+		r.control.applyTable(second(100), tableWithRange(90, true))
+		req := lookupRequest(aim)
+		_, c := r.chooseHolder(r.current.Load(), req, time.Now())
+		return r, req, c
 	}
-	Convey("A request with time waits, and goes on once the range is open", t, func() {
-		r, o, c := start(time.Minute)
-		So(c.Reason, ShouldEqual, moving)
+	Convey("A request with enough time waits, and proceeds once the range is open", t, func() {
+		r, req, c := start(time.Minute)
+		So(c.Reason, ShouldEqual, reasonKeyMoving)
 		changed := *r.opened.Load()
-		r.control.applyTable(second(100.1), onTheWay(91, false))
-		So(r.awaitOpen(context.Background(), o, changed), ShouldBeTrue)
-		_, c = r.owner(r.current.Load(), o, time.Now())
+		r.control.applyTable(second(100.1), tableWithRange(91, false))
+		So(r.awaitRangeOpen(context.Background(), req, changed), ShouldBeTrue)
+		_, c = r.chooseHolder(r.current.Load(), req, time.Now())
 		So(c.Refused(), ShouldBeFalse)
 	})
-	Convey("One that cannot be answered within its aim after that is refused at once", t, func() {
-		r, o, _ := start(120 * time.Millisecond)
-		So(r.awaitOpen(context.Background(), o, *r.opened.Load()), ShouldBeFalse)
+	Convey("A request that could not be answered within its target latency does not wait", t, func() {
+		r, req, _ := start(120 * time.Millisecond)
+		So(r.awaitRangeOpen(context.Background(), req, *r.opened.Load()), ShouldBeFalse)
 	})
-	Convey("A caller that leaves is not waited for", t, func() {
-		r, o, _ := start(time.Minute)
+	Convey("The wait ends when the caller leaves", t, func() {
+		r, req, _ := start(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(r.awaitOpen(ctx, o, *r.opened.Load()), ShouldBeFalse)
+		So(r.awaitRangeOpen(ctx, req, *r.opened.Load()), ShouldBeFalse)
 	})
 }
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -87,8 +87,8 @@
 	// change is made to; 0 is the whole one.
 	tableForms map[uint64][]byte
 	stored     storedTable
-	heats      *heats
-	limits     limits
+	heats      *siteCounts
+	limits     holderLimits
 	started    time.Time
 	boot       boot.Boot
 }
@@ -114,7 +114,7 @@
 	c := &control{
 		r: r, caches: map[news.Kind]*news.Cache{}, known: map[news.Kind]*atomic.Uint64{},
 		members: member.New(r.self, now), entries: newEntries(),
-		calling: map[string]bool{}, fetches: fetches{}, tableForms: map[uint64][]byte{}, counts: countReport{at: now}, heats: newHeats(), started: now, boot: boot.New(now), seeds: r.settings.Seeds,
+		calling: map[string]bool{}, fetches: fetches{}, tableForms: map[uint64][]byte{}, counts: countReport{sentAt: now}, heats: newSiteCounts(), started: now, boot: boot.New(now), seeds: r.settings.Seeds,
 	}
 	for _, k := range news.Kinds {
 		c.caches[k], c.known[k] = news.NewCache(k), &atomic.Uint64{}
@@ -180,8 +180,8 @@
 		c.runKeeper(now)
 	}
 	c.gossip(now)
-	c.booted(now, "")
-	c.listIssuers(now)
+	c.recordLoaded(now, "")
+	c.refreshIssuers(now)
 	c.r.ready.Store(!c.leaving && c.isReady(now))
 }
 
@@ -203,7 +203,7 @@
 	if !s.configured || len(s.fleet.All()) == 0 {
 		return false
 	}
-	return len(s.keyed()) == 0 || s.table.Epoch > 0 || now.Sub(c.started) > readyAnyway
+	return len(s.keyedServices()) == 0 || s.table.Epoch > 0 || now.Sub(c.started) > readyAnyway
 }
 
 // readyAnyway is how long a start may wait for the holders of keys: unkeyed
@@ -226,7 +226,7 @@
 	changed := cache.Merge(m.delta)
 	c.gap(now, m.delta.Kind, before)
 	c.known[m.delta.Kind].Store(cache.Through())
-	defer c.booted(now, m.delta.Kind)
+	defer c.recordLoaded(now, m.delta.Kind)
 	if len(changed) == 0 {
 		return
 	}
@@ -268,7 +268,7 @@
 		}
 		c.r.current.Store(s.withConfig(next.WithIndex()))
 		c.share()
-		c.r.meters.set("config.version", next.Version)
+		c.r.meters.setGauge("config.version", next.Version)
 		c.r.log.Info("config: in force", "version", next.Version, "revision", it.Revision, "routes", len(next.Routes))
 	}
 }
@@ -355,7 +355,7 @@
 	c.tables = c.tables[max(0, len(c.tables)-tablesKept):]
 	clear(c.tableForms)
 	c.r.current.Store(s.withTable(t))
-	c.r.tableChanged(now, t)
-	c.r.meters.set("keys.epoch", t.Epoch)
+	c.r.recordTableChange(now, t)
+	c.r.meters.setGauge("keys.epoch", t.Epoch)
 	return true
 }
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -7,93 +7,95 @@
 	"catkinstep/core/process/pace"
 )
 
-// countReport is what a daemon's reports of its counts need to know of the last one.
+// countReport describes a daemon's last report of its counts, which the next one builds on.
 type countReport struct {
-	at time.Time
-	// relayed are paces of servers that others of the data centre reported since then.
-	relayed []*wire.Pace
-	// epoch is that of the leader to which the last one went.
-	epoch uint64
+	sentAt time.Time
+	// relayedStats are server statistics that other daemons of the data centre reported
+	// after that report.
+	relayedStats []*wire.Pace
+	// leaderEpoch is the epoch of the leader that received the report.
+	leaderEpoch uint64
 }
 
-// sendHeat passes on which keys were asked for and how slow servers were, once a
-// second: to a relay of the data centre, and from there to the leader, who gets
-// one message for each relay and not for each daemon.
-func (c *control) sendHeat(now time.Time, relay bool) {
-	if now.Sub(c.counts.at) < heatEvery {
+// sendCounts reports the requests for keys and the slowdowns of servers twice a second. The
+// report goes to a relay of the data centre and from there to the leader, which receives
+// one message per relay instead of one per daemon.
+func (c *control) sendCounts(now time.Time, isRelay bool) {
+	if now.Sub(c.counts.sentAt) < heatEvery {
 		return
 	}
-	h := c.gossipNow(now)
-	last := c.counts
-	c.counts = countReport{at: now, epoch: c.r.current.Load().table.Epoch}
-	h.Heat, h.Paces = c.r.takeHeat(last.relayed, c.counts.epoch != last.epoch)
+	message := c.gossipNow(now)
+	previous := c.counts
+	c.counts = countReport{sentAt: now, leaderEpoch: c.r.current.Load().table.Epoch}
+	message.Heat, message.Paces = c.r.takeCounts(previous.relayedStats, c.counts.leaderEpoch != previous.leaderEpoch)
 	if c.keeper != nil {
-		c.heats.add(h)
+		c.heats.add(message)
 		return
 	}
-	to := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
-	if relays := c.members.Relays(now); !relay && len(relays) > 0 {
-		to = relays[0]
+	target := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
+	if relays := c.members.Relays(now); !isRelay && len(relays) > 0 {
+		target = relays[0]
 	}
-	if to != "" && tellsCounts(h) {
-		go c.r.sendGossip(to, h)
+	if target != "" && hasCounts(message) {
+		go c.r.sendGossip(target, message)
 	}
 }
 
-// tellsCounts tells whether gossip carries counts: of requests, or only of answers.
-func tellsCounts(h *wire.Gossip) bool { return len(h.Heat)+len(h.Paces) > 0 }
+// hasCounts reports whether a gossip message contains counts of requests or statistics of
+// servers.
+func hasCounts(message *wire.Gossip) bool { return len(message.Heat)+len(message.Paces) > 0 }
 
-// takeHeat takes in another daemon's counts: the leader for good, a relay to pass
-// them on with its own.
-func (c *control) takeHeat(now time.Time, h *wire.Gossip) {
+// receiveCounts handles another daemon's counts. The leader adds them up; a relay forwards
+// them with its own.
+func (c *control) receiveCounts(now time.Time, message *wire.Gossip) {
 	switch {
 	case c.keeper != nil:
-		c.heats.add(h)
-	case tellsCounts(h) && h.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
-		c.r.addHeat(h.Heat)
-		c.counts.relayed = append(c.counts.relayed, h.Paces...)
+		c.heats.add(message)
+	case hasCounts(message) && message.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
+		c.r.addKeyCounts(message.Heat)
+		c.counts.relayedStats = append(c.counts.relayedStats, message.Paces...)
 	}
 }
 
-// addHeat counts another daemon's requests with this one's.
-func (r *Router) addHeat(heat []*wire.Heat) {
+// addKeyCounts adds another daemon's request counts to this daemon's.
+func (r *Router) addKeyCounts(keyCounts []*wire.Heat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, x := range heat {
+	for _, x := range keyCounts {
 		k := heatKey{service: x.Service, bucket: x.Bucket}
 		r.heat[k] = r.heat[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
 	}
 }
 
-// takeHeat returns the counts since it last did, and how slow servers were found
-// to be meanwhile, here and by others that reported to this daemon. A new leader knows
-// nothing and gets all.
-func (r *Router) takeHeat(relayed []*wire.Pace, newLeader bool) ([]*wire.Heat, []*wire.Pace) {
+// takeCounts returns the request counts and the server statistics since the last call,
+// including those relayed from other daemons, and resets them. For a new leader, which has
+// no statistics yet, the slowdowns cover earlier answers as well.
+func (r *Router) takeCounts(relayed []*wire.Pace, newLeader bool) ([]*wire.Heat, []*wire.Pace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var heat []*wire.Heat
-	for k, n := range r.heat {
-		heat = append(heat, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: n.requests,
-			WorkMillis: uint32(n.work.Milliseconds()), AimMillis: uint32(n.aim.Milliseconds())})
+	var keyCounts []*wire.Heat
+	for k, count := range r.heat {
+		keyCounts = append(keyCounts, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: count.requests,
+			WorkMillis: uint32(count.work.Milliseconds()), AimMillis: uint32(count.aim.Milliseconds())})
 	}
 	clear(r.heat)
 	keyed := map[string]bool{}
-	for _, s := range r.current.Load().keyed() {
+	for _, s := range r.current.Load().keyedServices() {
 		keyed[s] = true
 	}
-	sums := map[string]found{}
+	statsByServer := map[string]serverStats{}
 	for _, p := range relayed {
-		sums[p.Server] = sums[p.Server].with(foundOf(p))
+		statsByServer[p.Server] = statsByServer[p.Server].with(serverStatsFrom(p))
 	}
 	for _, p := range r.spread.TakeStats(newLeader) {
-		if v, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[v.Service] {
-			f := found{Sample: pace.Sample{Factor: p.Slowdown, Answers: p.Answers}, heard: p.LoadReports, full: p.FullReports}
-			sums[p.Server] = sums[p.Server].with(f)
+		if server, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[server.Service] {
+			stats := serverStats{Sample: pace.Sample{Factor: p.Slowdown, Answers: p.Answers}, loadReports: p.LoadReports, fullReports: p.FullReports}
+			statsByServer[p.Server] = statsByServer[p.Server].with(stats)
 		}
 	}
-	var paces []*wire.Pace
-	for server, f := range sums {
-		paces = append(paces, f.message(server))
+	var reports []*wire.Pace
+	for id, stats := range statsByServer {
+		reports = append(reports, stats.toWire(id))
 	}
-	return heat, paces
+	return keyCounts, reports
 }
--- a/io/process/router/follow.go
+++ b/io/process/router/follow.go
@@ -22,10 +22,10 @@
 			continue
 		}
 		asked := r.now()
-		r.meters.add("store.read." + string(kind))
+		r.meters.increment("store.read." + string(kind))
 		d, err := r.ask(ctx, kind, listed, sure)
 		if err != nil {
-			r.meters.add("store.failed." + string(kind))
+			r.meters.increment("store.failed." + string(kind))
 			if ctx.Err() != nil {
 				return nil //nolint:nilerr // the router stops
 			}
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -22,7 +22,7 @@
 	relay := c.members.IsRelay(now)
 	if c.due(now, &c.paces.near, c.members.Pace()) {
 		c.gossipTo(now, c.members.Relays(now), true)
-		c.sendHeat(now, relay)
+		c.sendCounts(now, relay)
 	}
 	if c.members.Count() == 1 && c.due(now, &c.paces.seeds, leaderGossip) {
 		c.gossipTo(now, c.seeds, false)
@@ -99,7 +99,7 @@
 		s := c.caches[k]
 		h.Known = append(h.Known, &wire.Known{Kind: string(k), Through: s.Through(), AgeMillis: age(now, s.At())})
 	}
-	h.Suspects, h.Sent = c.r.suspectNews(), c.r.sentNews()
+	h.Suspects, h.Sent = c.r.recentSuspects(), c.r.unansweredSent()
 	h.LimitsEpoch, h.LimitsSeq = c.limits.epoch, c.limits.seq
 	return h
 }
@@ -156,8 +156,8 @@
 		if h.DataCentre == c.r.self.DataCentre {
 			c.addUnderWay(now, reply, h.Name)
 		}
-		if c.limits.newer(limits{epoch: h.LimitsEpoch, seq: h.LimitsSeq}) {
-			reply.Limits = c.limits.message(now)
+		if c.limits.newerThan(holderLimits{epoch: h.LimitsEpoch, seq: h.LimitsSeq}) {
+			reply.Limits = c.limits.toWire(now)
 		}
 		m.reply <- reply
 	}
@@ -171,12 +171,12 @@
 		c.share()
 	}
 	c.underWay(now, h)
-	c.r.heardOfSent(h.Sent)
-	if c.r.heardOfLosses(h.Suspects) {
+	c.r.mergeSent(h.Sent)
+	if c.r.mergeLosses(h.Suspects) {
 		c.spreadNews(now, false)
 	}
-	c.takeHeat(now, h)
-	c.heardLimits(now, h.Limits)
+	c.receiveCounts(now, h)
+	c.receiveLimits(now, h.Limits)
 	t := c.r.current.Load().table
 	if (grant.Table{Epoch: h.Epoch, Seq: h.Seq}).Newer(t) {
 		c.fetch(now, h.Address, &wire.Fetch{Kind: tableKind, Since: t.Seq, Epoch: t.Epoch})
--- a/io/process/router/late.go
+++ b/io/process/router/late.go
@@ -7,42 +7,43 @@
 	"catkinstep/io/connection/link"
 )
 
-// Reasons why an answer came after its aim, as logs name them.
+// Reasons why an answer exceeded the target latency. Logs and metrics use these names.
 const (
-	lateRepeated = "afterFailedAttempt"
-	lateWaited   = "waited"
-	lateSlow     = "slowServer"
-	lateLong     = "longWork"
+	lateRetried    = "afterFailedAttempt"
+	lateQueued     = "waited"
+	lateSlowServer = "slowServer"
+	lateLongWork   = "longWork"
 )
 
-// slowPace is from what pace on a server is called slow.
-const slowPace = 1.5
+// slowdownThreshold is the slowdown from which a server counts as slow.
+const slowdownThreshold = 1.5
 
-// noteLate logs an answer that came after its aim.
-func (r *Router) noteLate(o *order, c spread.Choice, a *link.Answer) {
-	took := time.Since(o.Read)
-	if took <= o.route.LatencyTarget {
+// logLateAnswer logs and counts an answer that exceeded the route's target latency.
+func (r *Router) logLateAnswer(req *request, choice spread.Choice, a *link.Answer) {
+	elapsed := time.Since(req.Read)
+	if elapsed <= req.route.LatencyTarget {
 		return
 	}
-	reason := lateReason(o.attempts(), a.Load)
-	r.meters.add("late." + reason)
+	reason := lateReason(req.attempts(), a.Load)
+	r.meters.increment("late." + reason)
 	load := link.Load{}
 	if a.Load != nil {
 		load = *a.Load
 	}
-	r.log.Info("request: answered late", append([]any{"id", o.id, "route", o.route.Name, "reason", reason, "took", took.String(),
-		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Pace}, r.grounds(o, c)...)...)
+	r.log.Info("request: answered late", append([]any{"id", req.id, "route", req.route.Name, "reason", reason, "took", elapsed.String(),
+		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Pace}, r.decisionAttrs(req, choice)...)...)
 }
 
-// lateReason tells what the server said with the answer from what went before it.
+// lateReason derives the reason for a late answer from the number of attempts and from the
+// load that the server reported with the answer.
 func lateReason(attempts int, l *link.Load) string {
 	switch {
 	case attempts > 1:
-		return lateRepeated
+		return lateRetried
 	case l != nil && (l.Waiting > 0 || l.Running >= l.Slots):
-		return lateWaited
-	case l != nil && l.Pace >= slowPace:
-		return lateSlow
+		return lateQueued
+	case l != nil && l.Pace >= slowdownThreshold:
+		return lateSlowServer
 	}
-	return lateLong
+	return lateLongWork
 }
--- a/io/process/router/late_test.go
+++ b/io/process/router/late_test.go
@@ -8,14 +8,14 @@
 	"catkinstep/io/connection/link"
 )
 
-// Guards against a late answer whose reason the log does not tell.
+// Guards against late answers that are logged with a wrong reason or without one.
 func TestLateReason(t *testing.T) {
-	Convey("Each is named", t, func() {
-		So(lateReason(2, &link.Load{Waiting: 3}), ShouldEqual, lateRepeated)
-		So(lateReason(1, &link.Load{Running: 2, Waiting: 3, Slots: 4}), ShouldEqual, lateWaited)
-		So(lateReason(1, &link.Load{Running: 4, Slots: 4}), ShouldEqual, lateWaited)
-		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 3}), ShouldEqual, lateSlow)
-		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 1}), ShouldEqual, lateLong)
-		So(lateReason(1, nil), ShouldEqual, lateLong)
+	Convey("Each reason is recognised", t, func() {
+		So(lateReason(2, &link.Load{Waiting: 3}), ShouldEqual, lateRetried)
+		So(lateReason(1, &link.Load{Running: 2, Waiting: 3, Slots: 4}), ShouldEqual, lateQueued)
+		So(lateReason(1, &link.Load{Running: 4, Slots: 4}), ShouldEqual, lateQueued)
+		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 3}), ShouldEqual, lateSlowServer)
+		So(lateReason(1, &link.Load{Running: 1, Slots: 4, Pace: 1}), ShouldEqual, lateLongWork)
+		So(lateReason(1, nil), ShouldEqual, lateLongWork)
 	})
 }
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -16,7 +16,7 @@
 
 // tryLead takes the lead when nobody has it any more.
 func (c *control) tryLead(now time.Time) {
-	if c.keeper != nil || c.lead.taking || c.leaving || c.through(news.Tables) == 0 || len(c.r.current.Load().keyed()) == 0 {
+	if c.keeper != nil || c.lead.taking || c.leaving || c.through(news.Tables) == 0 || len(c.r.current.Load().keyedServices()) == 0 {
 		return
 	}
 	try, _ := c.members.MayLead(now, c.stored.head.Leader)
@@ -66,7 +66,7 @@
 	c.lead = leadership{before: m.before.Leader, led: true}
 	c.members.Stored(now)
 	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithHold(c.r.hold))
-	c.heats = newHeats()
+	c.heats = newSiteCounts()
 	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.lead.before.Daemon, "revision", m.revision)
 	c.updateFleet(now)
 	c.runKeeper(now)
@@ -81,7 +81,7 @@
 	}
 	if now.Sub(c.heats.meter.WindowStart()) >= heatEvery {
 		s := c.r.current.Load()
-		for _, l := range c.heats.roll(now, s.config, s.fleet) {
+		for _, l := range c.heats.closeWindow(now, s.config, s.fleet) {
 			c.keep(now, l)
 		}
 	}
@@ -90,7 +90,7 @@
 
 func (c *control) updateFleet(now time.Time) {
 	s := c.r.current.Load()
-	c.keep(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyed(), Out: s.out, Keep: s.config.DisableRebalancing, Daemons: c.members.Count()})
+	c.keep(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyedServices(), Out: s.outDataCentres, Keep: s.config.DisableRebalancing, Daemons: c.members.Count()})
 }
 
 // keep passes a message to the keeper and carries out what it wants.
@@ -120,7 +120,7 @@
 		c.applyTable(now, cmd.Table)
 		c.spreadNews(now, true)
 	case keeper.LimitCmd:
-		c.setLimits(now, limits{epoch: c.keeper.Table().Epoch, seq: c.limits.seq + 1, at: now, each: cmd.Limits, contended: cmd.Contended}, true)
+		c.applyLimits(now, holderLimits{epoch: c.keeper.Table().Epoch, seq: c.limits.seq + 1, issuedAt: now, bucketLimits: cmd.Limits, contended: cmd.Contended}, true)
 	case keeper.ResignCmd:
 		c.r.log.Info("keys: no longer leading", "reason", cmd.Reason)
 		c.keeper = nil
@@ -141,7 +141,7 @@
 	}
 	w.turn.Unlock()
 	m.At = r.now()
-	r.meters.add("grants." + m.Result.String())
+	r.meters.increment("grants." + m.Result.String())
 	r.post(keeperMsg{msg: m})
 }
 
@@ -151,7 +151,7 @@
 		w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.Born, use: forReleases})
 		m.Result, m.Handover = r.order(w, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
-	r.meters.add("releases." + m.Result.String())
+	r.meters.increment("releases." + m.Result.String())
 	r.post(keeperMsg{msg: m})
 }
 
@@ -179,7 +179,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
 	defer cancel()
-	r.meters.add("store.save.tables")
+	r.meters.increment("store.save.tables")
 	item, err := r.store.Save(ctx, news.Tables, tableName, value, revision)
 	if item.Revision > 0 {
 		r.post(deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{item}}})
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -9,84 +9,87 @@
 	"catkinstep/core/request/spread"
 )
 
-// overloaded is why a request for a key is refused whose holder is offered more, by all
-// daemons together, than it can answer in time.
-const overloaded spread.Reason = "keyOverloaded"
+// reasonKeyOverloaded means that the holder of a key gets more requests from all daemons
+// together than it can answer in time.
+const reasonKeyOverloaded spread.Reason = "keyOverloaded"
 
-// limits are the leader's newest limits for overloaded holders.
-type limits struct {
-	epoch, seq uint64
-	at         time.Time
-	each       []admit.Limit
-	contended  []string
+// holderLimits are the leader's limits for overloaded holders, and its list of contended
+// servers.
+type holderLimits struct {
+	epoch, seq   uint64
+	issuedAt     time.Time
+	bucketLimits []admit.Limit
+	contended    []string
 }
 
-func (l limits) newer(o limits) bool {
-	if l.epoch != o.epoch {
-		return l.epoch > o.epoch
+func (l holderLimits) newerThan(other holderLimits) bool {
+	if l.epoch != other.epoch {
+		return l.epoch > other.epoch
 	}
-	return l.seq > o.seq
+	return l.seq > other.seq
 }
 
-// message is the form for other daemons.
-func (l limits) message(now time.Time) *wire.Limits {
-	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: age(now, l.at), Contended: l.contended}
-	for _, x := range l.each {
+// toWire returns the message for other daemons.
+func (l holderLimits) toWire(now time.Time) *wire.Limits {
+	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: age(now, l.issuedAt), Contended: l.contended}
+	for _, x := range l.bucketLimits {
 		out.Limits = append(out.Limits, &wire.Limit{Service: x.Service, Bucket: uint32(x.Bucket), Part: float32(x.Fraction)})
 	}
 	return out
 }
 
-// heardLimits takes in what another daemon passed on.
-func (c *control) heardLimits(now time.Time, m *wire.Limits) {
+// receiveLimits applies limits that another daemon sent.
+func (c *control) receiveLimits(now time.Time, m *wire.Limits) {
 	if m == nil {
 		return
 	}
-	l := limits{epoch: m.Epoch, seq: m.Seq, at: ago(now, m.AgeMillis), contended: m.Contended}
+	l := holderLimits{epoch: m.Epoch, seq: m.Seq, issuedAt: ago(now, m.AgeMillis), contended: m.Contended}
 	for _, x := range m.Limits {
-		l.each = append(l.each, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Fraction: float64(x.Part)})
+		l.bucketLimits = append(l.bucketLimits, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Fraction: float64(x.Part)})
 	}
-	c.setLimits(now, l, false)
+	c.applyLimits(now, l, false)
 }
 
-// setLimits puts newer limits in force and passes them on: who made them tells all relays
-// and its own data centre, a relay that receives them tells its own.
-func (c *control) setLimits(now time.Time, l limits, made bool) {
-	if !l.newer(c.limits) {
+// applyLimits applies newer limits and forwards them. The leader, which issues them, sends
+// them to all relays and to the daemons of its own data centre. A relay that receives them
+// forwards them to the daemons of its data centre.
+func (c *control) applyLimits(now time.Time, l holderLimits, issuedHere bool) {
+	if !l.newerThan(c.limits) {
 		return
 	}
-	if len(l.each) == 0 != (len(c.limits.each) == 0) || len(l.contended) == 0 != (len(c.limits.contended) == 0) {
-		c.r.log.Info("limits: changed", "buckets", len(l.each), "contended", len(l.contended), "epoch", l.epoch, "seq", l.seq, "age", now.Sub(l.at).String())
+	if len(l.bucketLimits) == 0 != (len(c.limits.bucketLimits) == 0) || len(l.contended) == 0 != (len(c.limits.contended) == 0) {
+		c.r.log.Info("limits: changed", "buckets", len(l.bucketLimits), "contended", len(l.contended), "epoch", l.epoch, "seq", l.seq, "age", now.Sub(l.issuedAt).String())
 	}
 	c.limits = l
-	sent := time.Now().Add(l.at.Sub(now))
+	// Requests use another clock than the control state.
+	issuedAt := time.Now().Add(l.issuedAt.Sub(now))
 	c.r.mu.Lock()
-	c.r.gate.SetLimits(sent, l.each)
-	c.r.permits.set(sent, l.contended)
+	c.r.gate.SetLimits(issuedAt, l.bucketLimits)
+	c.r.permits.setContended(issuedAt, l.contended)
 	c.r.mu.Unlock()
-	var to []string
-	if made || c.members.IsRelay(now) {
-		to = c.members.Near(now)
+	var targets []string
+	if issuedHere || c.members.IsRelay(now) {
+		targets = c.members.Near(now)
 	}
-	if made {
-		to = append(to, c.members.FarRelays(now)...)
+	if issuedHere {
+		targets = append(targets, c.members.FarRelays(now)...)
 	}
-	for _, a := range to {
-		if c.calling[a] {
-			continue // its next gossip asks for them
+	for _, address := range targets {
+		if c.calling[address] {
+			continue // it gets them in the reply to its next gossip
 		}
-		h := c.gossipNow(now)
-		h.Limits = l.message(now)
-		c.send(a, h)
+		message := c.gossipNow(now)
+		message.Limits = l.toWire(now)
+		c.send(address, message)
 	}
 }
 
-// admitted draws whether a request for a key may go to its holder. The caller must hold
-// the lock. Another attempt of one that was let in is not drawn for again.
-func (r *Router) admitted(o *order, now time.Time) (back time.Duration, ok bool) {
-	if o.admitted {
+// admit decides at random, by the limits in force, whether a request for a key may go to its
+// holder. A request that was admitted stays so for further attempts. r.mu must be held.
+func (r *Router) admit(req *request, now time.Time) (retryAfter time.Duration, ok bool) {
+	if req.admitted {
 		return 0, true
 	}
-	back, o.admitted = r.gate.Admit(now, o.service.Name, keeper.Bucket(o.key))
-	return back, o.admitted
+	retryAfter, req.admitted = r.gate.Admit(now, req.service.Name, keeper.Bucket(req.key))
+	return retryAfter, req.admitted
 }
--- a/io/process/router/limits_test.go
+++ b/io/process/router/limits_test.go
@@ -9,36 +9,36 @@
 	"catkinstep/core/request/admit"
 )
 
-// none lets nothing of a key's requests through.
-func none(epoch, seq uint64) limits {
-	return limits{epoch: epoch, seq: seq, at: second(100), each: []admit.Limit{{Service: "s", Bucket: 0}}}
+// limitsRefusingAll returns limits that refuse all requests for a bucket.
+func limitsRefusingAll(epoch, seq uint64) holderLimits {
+	return holderLimits{epoch: epoch, seq: seq, issuedAt: second(100), bucketLimits: []admit.Limit{{Service: "s", Bucket: 0}}}
 }
 
-// Guards against older limits, which daemons pass on in any order, replacing newer ones.
-func TestOlderLimitsChangeNothing(t *testing.T) {
+// Guards against older limits that replace newer ones: daemons forward limits in any order.
+func TestOlderLimitsAreIgnored(t *testing.T) {
 	Convey("The newest limits stay in force", t, func() {
 		r := still()
-		r.control.setLimits(second(100), limits{epoch: 2, seq: 5, at: second(100)}, false)
-		for _, old := range []limits{none(2, 4), none(2, 5), none(1, 9)} {
-			r.control.setLimits(second(100), old, false)
-			_, ok := r.admitted(lookup(time.Second), time.Now())
+		r.control.applyLimits(second(100), holderLimits{epoch: 2, seq: 5, issuedAt: second(100)}, false)
+		for _, old := range []holderLimits{limitsRefusingAll(2, 4), limitsRefusingAll(2, 5), limitsRefusingAll(1, 9)} {
+			r.control.applyLimits(second(100), old, false)
+			_, ok := r.admit(lookupRequest(time.Second), time.Now())
 			So(ok, ShouldBeTrue)
 		}
-		r.control.setLimits(second(100), none(2, 6), false)
-		_, ok := r.admitted(lookup(time.Second), time.Now())
+		r.control.applyLimits(second(100), limitsRefusingAll(2, 6), false)
+		_, ok := r.admit(lookupRequest(time.Second), time.Now())
 		So(ok, ShouldBeFalse)
 	})
 }
 
-// Guards against a request that was let in and is refused by the draw when it is sent again.
-func TestAdmittedOnce(t *testing.T) {
-	Convey("A request that was let in stays so", t, func() {
+// Guards against an admitted request that is refused at random when it is sent again.
+func TestAdmittedRequestStaysAdmitted(t *testing.T) {
+	Convey("A request that was admitted stays admitted", t, func() {
 		r := still()
-		o := lookup(time.Second)
-		_, ok := r.admitted(o, time.Now())
+		req := lookupRequest(time.Second)
+		_, ok := r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
-		r.control.setLimits(second(100), none(1, 1), false)
-		_, ok = r.admitted(o, time.Now())
+		r.control.applyLimits(second(100), limitsRefusingAll(1, 1), false)
+		_, ok = r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
 	})
 }
--- a/io/process/router/meters.go
+++ b/io/process/router/meters.go
@@ -12,37 +12,39 @@
 )
 
 const (
-	// longest bounds a recorded latency, in microseconds: a minute.
-	longest = 60_000_000
-	// digits is the precision of latencies: one part in a hundred.
-	digits = 2
+	// maxLatencyMicros is the highest latency that is recorded, one minute in microseconds.
+	// Higher ones are recorded as this value.
+	maxLatencyMicros = 60_000_000
+	// latencyDigits is the number of significant digits of recorded latencies: a precision of
+	// one in a hundred.
+	latencyDigits = 2
 )
 
-// meters are a daemon's counters and latencies, as the metrics address shows
-// them. Each daemon has its own: several may run in one process.
-type meters struct {
-	vars expvar.Map
-	mu   sync.Mutex
-	took *hdrhistogram.Histogram // of answered requests, in microseconds
+// metrics are a daemon's counters and latencies, as its metrics address serves them. Each
+// daemon has its own, since several may run in one process.
+type metrics struct {
+	vars      expvar.Map
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram // of answered requests, in microseconds
 }
 
-func newMeters() *meters {
-	m := &meters{took: hdrhistogram.New(1, longest, digits)}
+func newMetrics() *metrics {
+	m := &metrics{latencies: hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
 	m.vars.Init()
-	m.vars.Set("latencyMicros", expvar.Func(m.latency))
+	m.vars.Set("latencyMicros", expvar.Func(m.latencyPercentiles))
 	return m
 }
 
-// add counts something by name.
-func (m *meters) add(name string) { m.vars.Add(name, 1) }
+// increment adds one to a counter.
+func (m *metrics) increment(name string) { m.vars.Add(name, 1) }
 
-// addBytes counts the size of a message between daemons.
-func (m *meters) addBytes(name string, message proto.Message) {
+// addBytes adds the size of a message between daemons to a counter.
+func (m *metrics) addBytes(name string, message proto.Message) {
 	m.vars.Add(name, int64(proto.Size(message)))
 }
 
-// controlBytes is what messages between daemons took so far, out and in.
-func (m *meters) controlBytes() int64 {
+// controlBytes returns the bytes of all messages between daemons so far, in both directions.
+func (m *metrics) controlBytes() int64 {
 	sum := int64(0)
 	for _, name := range []string{bytesOut, bytesIn} {
 		if v, ok := m.vars.Get(name).(*expvar.Int); ok {
@@ -52,36 +54,36 @@
 	return sum
 }
 
-// Counters of the bytes between daemons, calls and answers alike.
+// Counters of the bytes sent and received between daemons, in calls and replies.
 const (
 	bytesOut = "control.bytesOut"
 	bytesIn  = "control.bytesIn"
 )
 
-// set shows a state by name.
-func (m *meters) set(name string, v uint64) {
-	i := new(expvar.Int)
-	i.Set(int64(v))
-	m.vars.Set(name, i)
+// setGauge sets a metric to a value.
+func (m *metrics) setGauge(name string, value uint64) {
+	gauge := new(expvar.Int)
+	gauge.Set(int64(value))
+	m.vars.Set(name, gauge)
 }
 
-// observe counts how a request ended.
-func (m *meters) observe(status int, took time.Duration) {
-	m.add("requests." + strconv.Itoa(status))
+// observeRequest records the status of a request, and its latency unless it failed.
+func (m *metrics) observeRequest(status int, elapsed time.Duration) {
+	m.increment("requests." + strconv.Itoa(status))
 	if status >= http.StatusInternalServerError {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_ = m.took.RecordValue(min(longest, max(1, took.Microseconds()))) // within its bounds
+	_ = m.latencies.RecordValue(min(maxLatencyMicros, max(1, elapsed.Microseconds()))) // cannot fail, as the value is clamped
 }
 
-func (m *meters) latency() any {
+func (m *metrics) latencyPercentiles() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := map[string]int64{"count": m.took.TotalCount()}
-	for _, q := range []float64{50, 90, 99, 99.9} {
-		out["p"+strconv.FormatFloat(q, 'f', -1, 64)] = m.took.ValueAtQuantile(q)
+	values := map[string]int64{"count": m.latencies.TotalCount()}
+	for _, percentile := range []float64{50, 90, 99, 99.9} {
+		values["p"+strconv.FormatFloat(percentile, 'f', -1, 64)] = m.latencies.ValueAtQuantile(percentile)
 	}
-	return out
+	return values
 }
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -15,208 +15,214 @@
 )
 
 const (
-	// permitTimeout bounds how long a request waits for a permit: a small part of the
-	// work that permits are asked for. Without an answer it goes to the server at once.
+	// permitTimeout is how long a request waits for a permit: a small part of the service
+	// times for which permits are worthwhile. Without an answer it is sent at once.
 	permitTimeout = 40 * time.Millisecond
-	// contendedLasts is how long the leader's list of contended holders holds: it sends a
-	// new one twice a second.
-	contendedLasts = 2 * time.Second
-	// absentFor is how long an issuer that did not answer is not asked again.
-	absentFor = 5 * time.Second
-	// othersMost is to how many other servers a request turns that got no permit: where
-	// three queues are too long the others are likely so, too.
-	othersMost = 2
-	// issuersEvery is how often the daemons that issue permits are listed anew.
-	issuersEvery = 500 * time.Millisecond
+	// contendedTTL is how long the leader's list of contended holders is valid. The leader
+	// sends a new one twice a second.
+	contendedTTL = 2 * time.Second
+	// issuerAbsence is how long an issuer that did not answer is not asked again.
+	issuerAbsence = 5 * time.Second
+	// maxOtherServers is how many other servers a request tries after a permit was denied. If
+	// three queues are too long, the others probably are, too.
+	maxOtherServers = 2
+	// issuersInterval is the interval between updates of the list of issuers.
+	issuersInterval = 500 * time.Millisecond
 )
 
-// contendedNow is why a request is refused whose servers' queues are too long, by the count
-// of the daemons that issue their permits.
-const contendedNow spread.Reason = "serverContended"
+// reasonServerContended means that the issuers denied permits for the servers of a request,
+// since their queues are too long.
+const reasonServerContended spread.Reason = "serverContended"
 
-// permits is what this daemon knows of permits. All but issuers is guarded by the
-// router's lock.
+// permits is the state of a daemon as issuer and as user of permits. Router.mu guards all
+// fields but issuers.
 type permits struct {
 	issuer *permit.Issuer
-	// contended are the servers to which requests need a permit, until a time.
-	contended map[string]bool
-	until     time.Time
-	// issuers are the daemons of each data centre.
+	// contended is the leader's list of holders that require a permit, by server id. It is
+	// valid until contendedUntil.
+	contended      map[string]bool
+	contendedUntil time.Time
+	// issuers are the addresses of the live daemons, by data centre.
 	issuers atomic.Pointer[map[string][]string]
-	// absent are issuers that did not answer, until a time.
-	absent map[string]time.Time
-	// lastID is the last id that a request for a permit had.
+	// absentUntil is until when an issuer that did not answer is not asked, by address.
+	absentUntil map[string]time.Time
+	// lastID is the id of the last permit request.
 	lastID uint64
 }
 
-// permitted is a permit of one attempt.
-type permitted struct {
-	issuer, server string
-	id             uint64
+// heldPermit identifies the permit of an attempt. serverProcess names the server and its
+// current process.
+type heldPermit struct {
+	issuer, serverProcess string
+	id                    uint64
 }
 
-func (p *permits) set(sent time.Time, contended []string) {
-	p.until, p.contended = sent.Add(contendedLasts), make(map[string]bool, len(contended))
+func (p *permits) setContended(issuedAt time.Time, contended []string) {
+	p.contendedUntil, p.contended = issuedAt.Add(contendedTTL), make(map[string]bool, len(contended))
 	for _, server := range contended {
 		p.contended[server] = true
 	}
 }
 
-// listIssuers notes which daemons may issue permits, and drops those of requests that must
-// have ended.
-func (c *control) listIssuers(now time.Time) {
-	if c.due(now, &c.paces.issuers, issuersEvery) {
-		living := c.members.Living(now)
-		c.r.permits.issuers.Store(&living)
+// refreshIssuers updates the list of daemons that may issue permits, and expires the permits
+// of requests that have certainly ended.
+func (c *control) refreshIssuers(now time.Time) {
+	if c.due(now, &c.paces.issuers, issuersInterval) {
+		liveDaemons := c.members.Living(now)
+		c.r.permits.issuers.Store(&liveDaemons)
 		c.r.mu.Lock()
 		c.r.permits.issuer.Expire(time.Now())
 		count := c.r.permits.issuer.Count()
 		c.r.mu.Unlock()
-		c.r.meters.set("permits.counted", uint64(count))
+		c.r.meters.setGauge("permits.counted", uint64(count))
 	}
 }
 
-// issuerOf is the daemon of a server's data centre that issues permits for a run of it, the
-// next one while that does not answer. Daemons that know the same others name the same one;
-// where they do not, each issuer sees a part of the queue.
-func (r *Router) issuerOf(v fleet.Server, run string) string {
+// issuerFor returns the daemon of the server's data centre that issues permits for the server
+// process. It is chosen by rendezvous hashing among the daemons that answer. Daemons with
+// the same membership view choose the same issuer; with different views, each issuer counts
+// only a part of the queue.
+func (r *Router) issuerFor(server fleet.Server, serverProcess string) string {
 	issuers := r.permits.issuers.Load()
 	if issuers == nil {
 		return ""
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, best, most := time.Now(), "", uint64(0)
-	for _, address := range (*issuers)[v.DataCentre] {
-		if now.Before(r.permits.absent[address]) {
+	now, issuer, maxWeight := time.Now(), "", uint64(0)
+	for _, address := range (*issuers)[server.DataCentre] {
+		if now.Before(r.permits.absentUntil[address]) {
 			continue
 		}
-		if weight := xxhash.Sum64String(address + " " + run); weight >= most {
-			best, most = address, weight
+		if weight := xxhash.Sum64String(address + " " + serverProcess); weight >= maxWeight {
+			issuer, maxWeight = address, weight
 		}
 	}
-	return best
+	return issuer
 }
 
-// askPermit asks for a permit where the chosen server is contended, and returns the choice
-// or why the request must not go there. A server that this daemon thinks too busy may still
-// be allowed.
-func (r *Router) askPermit(ctx context.Context, o *order, v fleet.Server, c spread.Choice) spread.Choice {
-	a, answered := r.permitFor(ctx, o, v, c)
+// ensurePermit requests a permit if the chosen server is contended, and returns the choice,
+// refused if the permit was denied. A permit overrides this daemon's own estimate that the
+// server is too busy.
+func (r *Router) ensurePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) spread.Choice {
+	decision, answered := r.acquirePermit(ctx, req, server, choice)
 	switch {
-	case answered && a.Granted:
-		c.Reason = ""
+	case answered && decision.Granted:
+		choice.Reason = ""
 	case answered:
-		c.Reason, c.RetryAfter = contendedNow, a.RetryAfter
-		r.notSent(o, v, spread.PermitDenied)
-	case c.Refused():
-		r.notSent(o, v, spread.Cancelled)
-		r.endPermit(o)
+		choice.Reason, choice.RetryAfter = reasonServerContended, decision.RetryAfter
+		r.endUnsentAttempt(req, server, spread.PermitDenied)
+	case choice.Refused():
+		r.endUnsentAttempt(req, server, spread.Cancelled)
+		r.releasePermit(req)
 	}
-	return c
+	return choice
 }
 
-// notSent ends an attempt that was begun and is not made.
-func (r *Router) notSent(o *order, v fleet.Server, why spread.Outcome) {
+// endUnsentAttempt ends an attempt that was begun but is not sent.
+func (r *Router) endUnsentAttempt(req *request, server fleet.Server, outcome spread.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.End(time.Now(), v, o.need, o.began, why, nil)
+	r.spread.End(time.Now(), server, req.requirements, req.attemptStart, outcome, nil)
 }
 
-// permitFor returns the issuer's answer; false where none is needed or none came.
-func (r *Router) permitFor(ctx context.Context, o *order, v fleet.Server, c spread.Choice) (permit.Decision, bool) {
-	q, ok := r.needsPermit(o, v, c)
+// acquirePermit returns the issuer's decision, or false if no permit is needed or no answer
+// came.
+func (r *Router) acquirePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) (permit.Decision, bool) {
+	permitReq, ok := r.permitRequest(req, server, choice)
 	if !ok {
 		return permit.Decision{}, false
 	}
-	issuer := r.issuerOf(v, q.Server)
+	issuer := r.issuerFor(server, permitReq.Server)
 	if issuer == "" {
 		return permit.Decision{}, false
 	}
-	a, answered := r.permitOf(ctx, issuer, q)
-	if !answered || a.Granted {
-		// Without an answer it may have been granted all the same.
-		o.permit = permitted{issuer: issuer, server: q.Server, id: q.ID}
+	decision, answered := r.askIssuer(ctx, issuer, permitReq)
+	if !answered || decision.Granted {
+		// Without an answer, the permit may have been granted and must be released.
+		req.permit = heldPermit{issuer: issuer, serverProcess: permitReq.Server, id: permitReq.ID}
 	}
-	return a, answered
+	return decision, answered
 }
 
-// needsPermit returns what to ask for a request that needs a permit: to a holder of keys
-// where the leader says so, to another server where this daemon thinks so.
-func (r *Router) needsPermit(o *order, v fleet.Server, c spread.Choice) (permit.Request, bool) {
+// permitRequest returns the permit request for an attempt, or false if it needs no permit. The
+// leader decides which holders of keys are contended, this daemon decides about other
+// servers.
+func (r *Router) permitRequest(req *request, server fleet.Server, choice spread.Choice) (permit.Request, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	contended := c.Contended
-	if o.key >= 0 {
-		contended = r.permits.contended[v.ID] && now.Before(r.permits.until)
+	contended := choice.Contended
+	if req.key >= 0 {
+		contended = r.permits.contended[server.ID] && now.Before(r.permits.contendedUntil)
 	}
-	work := r.spread.ProcessingTime(now, o.need, v)
-	if !contended || !permit.Worthwhile(work) {
+	serviceTime := r.spread.ProcessingTime(now, req.requirements, server)
+	if !contended || !permit.Worthwhile(serviceTime) {
 		return permit.Request{}, false
 	}
 	r.permits.lastID++
 	return permit.Request{
-		Server: fmt.Sprintf("%s %d", v.ID, v.Born), ID: r.permits.lastID, Slots: v.Slots,
-		ServiceTime: work, MaxLatency: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), TTL: o.deadline.Sub(now) + answerMargin,
+		Server: fmt.Sprintf("%s %d", server.ID, server.Born), ID: r.permits.lastID, Slots: server.Slots,
+		ServiceTime: serviceTime, MaxLatency: r.spread.LatencyBudget(req.requirements) - now.Sub(req.Read), TTL: req.deadline.Sub(now) + answerMargin,
 	}, true
 }
 
-// tryOther tells whether a request may turn to another server than the one whose queue is
-// too long, which it leaves out then.
-func (o *order) tryOther(v fleet.Server) bool {
-	if o.key >= 0 || o.turnedDown >= othersMost {
+// tryOtherServer excludes a server for which a permit was denied, and reports whether the
+// request may try another one.
+func (req *request) tryOtherServer(server fleet.Server) bool {
+	if req.key >= 0 || req.permitsDenied >= maxOtherServers {
 		return false
 	}
-	o.turnedDown++
-	o.need.Excluded = append(o.need.Excluded, v.ID)
+	req.permitsDenied++
+	req.requirements.Excluded = append(req.requirements.Excluded, server.ID)
 	return true
 }
 
-// permitOf asks an issuer, which may be this daemon; false means that it did not answer.
-func (r *Router) permitOf(ctx context.Context, issuer string, q permit.Request) (permit.Decision, bool) {
-	r.meters.add("permits.asked")
-	m := &wire.Permit{Server: q.Server, Id: q.ID, Slots: uint32(q.Slots), WorkMillis: millisOf(q.ServiceTime), PatienceMillis: millisOf(q.MaxLatency), LastsMillis: millisOf(q.TTL)}
+// askIssuer asks an issuer, which may be this daemon, for a permit. It returns false if the
+// issuer did not answer.
+func (r *Router) askIssuer(ctx context.Context, issuer string, permitReq permit.Request) (permit.Decision, bool) {
+	r.meters.increment("permits.asked")
+	m := &wire.Permit{Server: permitReq.Server, Id: permitReq.ID, Slots: uint32(permitReq.Slots), WorkMillis: millisOf(permitReq.ServiceTime), PatienceMillis: millisOf(permitReq.MaxLatency), LastsMillis: millisOf(permitReq.TTL)}
 	if issuer == r.self.Address {
-		return answerOf(r.issue(m)), true
+		return decisionOf(r.issuePermit(m)), true
 	}
-	wait, cancel := context.WithTimeout(ctx, permitTimeout)
+	askCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := r.askShort(wait, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
+	reply, err := r.askShort(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
 	if err != nil || reply.Permit == nil {
-		r.meters.add("permits.unanswered")
-		if ctx.Err() == nil { // else the caller left
-			r.issuerLost(issuer, err)
+		r.meters.increment("permits.unanswered")
+		if ctx.Err() == nil { // otherwise the caller left
+			r.markIssuerAbsent(issuer, err)
 		}
 		return permit.Decision{}, false
 	}
-	return answerOf(reply.Permit), true
+	return decisionOf(reply.Permit), true
 }
 
-// issuerLost leaves an issuer out for a while. Until then others are asked in its place.
-func (r *Router) issuerLost(issuer string, err error) {
-	r.log.Info("permits: issuer does not answer", "issuer", issuer, "absentFor", absentFor.String(), "err", err)
+// markIssuerAbsent excludes an issuer for a while, so that another one takes its place.
+func (r *Router) markIssuerAbsent(issuer string, err error) {
+	r.log.Info("permits: issuer does not answer", "issuer", issuer, "absentFor", issuerAbsence.String(), "err", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.permits.absent[issuer] = time.Now().Add(absentFor)
+	r.permits.absentUntil[issuer] = time.Now().Add(issuerAbsence)
 }
 
-func answerOf(m *wire.PermitReply) permit.Decision {
+func decisionOf(m *wire.PermitReply) permit.Decision {
 	return permit.Decision{Granted: m.Granted, RetryAfter: millis(m.BackMillis)}
 }
 
 func millisOf(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
 
-// endPermit reports to the issuer that an attempt has left its server.
-func (r *Router) endPermit(o *order) {
-	p := o.permit
+// releasePermit reports to the issuer that an attempt has ended.
+func (r *Router) releasePermit(req *request) {
+	p := req.permit
 	if p.issuer == "" {
 		return
 	}
-	o.permit = permitted{}
-	m := &wire.PermitEnd{Server: p.server, Id: p.id}
+	req.permit = heldPermit{}
+	m := &wire.PermitEnd{Server: p.serverProcess, Id: p.id}
 	if p.issuer == r.self.Address {
-		r.permitEnded(m)
+		r.handlePermitEnd(m)
 		return
 	}
 	go func() {
@@ -225,22 +231,22 @@
 		call := &wire.Call{Kind: &wire.Call_PermitEnd{PermitEnd: m}}
 		r.meters.addBytes(bytesOut, call)
 		if err := r.mesh.Tell(ctx, p.issuer, call); err != nil {
-			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.server, "err", err)
+			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.serverProcess, "err", err)
 		}
 	}()
 }
 
-// issue decides about a permit that another daemon asks for.
-func (r *Router) issue(m *wire.Permit) *wire.PermitReply {
+// issuePermit decides on a permit request, from this daemon or another one.
+func (r *Router) issuePermit(m *wire.Permit) *wire.PermitReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.permits.issuer.Acquire(time.Now(), permit.Request{Server: m.Server, ID: m.Id, Slots: int(m.Slots),
+	decision := r.permits.issuer.Acquire(time.Now(), permit.Request{Server: m.Server, ID: m.Id, Slots: int(m.Slots),
 		ServiceTime: millis(m.WorkMillis), MaxLatency: millis(m.PatienceMillis), TTL: millis(m.LastsMillis)})
-	return &wire.PermitReply{Granted: a.Granted, BackMillis: millisOf(a.RetryAfter)}
+	return &wire.PermitReply{Granted: decision.Granted, BackMillis: millisOf(decision.RetryAfter)}
 }
 
-// permitEnded takes in that a request has left its server.
-func (r *Router) permitEnded(m *wire.PermitEnd) {
+// handlePermitEnd stops counting a request that has ended at its server.
+func (r *Router) handlePermitEnd(m *wire.PermitEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.permits.issuer.Release(m.Server, m.Id)
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -17,162 +17,169 @@
 	"catkinstep/io/connection/mesh"
 )
 
-// contended makes a router that issues permits for the holder of all keys.
-func contended() *Router {
+// contendedRouter returns a router whose only server holds all keys and is contended. The
+// router issues the permits itself.
+func contendedRouter() *Router {
 	r := still()
 	r.self.Address = "me"
 	r.control.members.Met(r.self)
 	r.serversAt(second(1), 10, entryOf("a", 5))
-	r.control.applyTable(second(1), onTheWay(1, false))
+	r.control.applyTable(second(1), tableWithRange(1, false))
 	r.permits.issuers.Store(&map[string][]string{"x": {"me"}})
-	r.control.setLimits(r.now(), limits{epoch: 1, seq: 1, at: r.now(), contended: []string{"a"}}, false)
+	r.control.applyLimits(r.now(), holderLimits{epoch: 1, seq: 1, issuedAt: r.now(), contended: []string{"a"}}, false)
 	return r
 }
 
-// begun plays requests up to their being sent, and counts the permitted ones.
-func begun(r *Router, count int) (sent []*order, refused []spread.Choice) {
+// startRequests takes requests to the point where they would be sent, and returns them and the
+// refusals of the others.
+func startRequests(r *Router, count int) (sent []*request, refused []spread.Choice) {
 	for range count {
-		o := lookup(time.Second)
-		v, c := r.owner(r.current.Load(), o, time.Now())
+		req := lookupRequest(time.Second)
+		server, c := r.chooseHolder(r.current.Load(), req, time.Now())
 		if !c.Refused() {
-			c = r.askPermit(context.Background(), o, v, c)
+			c = r.ensurePermit(context.Background(), req, server, c)
 		}
 		if c.Refused() {
 			refused = append(refused, c)
 			continue
 		}
-		sent = append(sent, o)
+		sent = append(sent, req)
 	}
 	return sent, refused
 }
 
-// contendedBy makes another daemon whose permits the first one issues.
-func contendedBy(issuer *Router) *Router {
-	r := contended()
+// routerWithIssuer returns another router, whose permits the given one issues.
+func routerWithIssuer(issuer *Router) *Router {
+	r := contendedRouter()
 	r.permits.issuer = issuer.permits.issuer
 	return r
 }
 
-func begunOne(r *Router) bool {
-	sent, _ := begun(r, 1)
+// startsOne reports whether the next request would be sent.
+func startsOne(r *Router) bool {
+	sent, _ := startRequests(r, 1)
 	return len(sent) == 1
 }
 
-// Guards against holders that are filled by daemons which know nothing of each other's requests.
+// Guards against holders whose queues grow too long because daemons do not see each other's
+// requests.
 func TestContendedHolder(t *testing.T) {
-	Convey("Who could not be answered in time is refused at once, and may come back", t, func() {
-		r := contended()
-		sent, refused := begun(r, 2)
+	Convey("Requests that could not be answered in time are refused at once", t, func() {
+		r := contendedRouter()
+		sent, refused := startRequests(r, 2)
 		So(refused, ShouldBeEmpty)
 		So(sent[0].permit.issuer, ShouldEqual, "me")
-		_, refused = begun(contendedBy(r), 12)
+		_, refused = startRequests(routerWithIssuer(r), 12)
 		So(refused, ShouldNotBeEmpty)
-		So(refused[0].Reason, ShouldEqual, contendedNow)
+		So(refused[0].Reason, ShouldEqual, reasonServerContended)
 		So(refused[0].RetryAfter, ShouldBeGreaterThan, 0)
-		Convey("and let in once those before have ended", func() {
-			for _, o := range sent {
-				r.endPermit(o)
+		Convey("and are admitted once earlier ones have ended", func() {
+			for _, req := range sent {
+				r.releasePermit(req)
 			}
-			So(begunOne(contendedBy(r)), ShouldBeTrue)
+			So(startsOne(routerWithIssuer(r)), ShouldBeTrue)
 		})
 	})
 }
 
-// Guards against permits that are never given back, which close a server for as long as its callers wait.
-func TestAttemptsGiveTheirPermitsBack(t *testing.T) {
-	Convey("An attempt that has ended is counted no more", t, func() {
-		r := contended()
+// Guards against permits that are never released, which block a server until its callers'
+// deadlines.
+func TestPermitsAreReleased(t *testing.T) {
+	Convey("The permit of an attempt that has ended is released", t, func() {
+		r := contendedRouter()
 		for range 3 {
-			o := lookup(300 * time.Millisecond)
-			o.Request.Request = httptest.NewRequest(http.MethodGet, "/look", nil)
-			So(r.attempt(context.Background(), o).Status, ShouldEqual, http.StatusServiceUnavailable)
+			req := lookupRequest(300 * time.Millisecond)
+			req.Request.Request = httptest.NewRequest(http.MethodGet, "/look", nil)
+			So(r.sendWithRetries(context.Background(), req).Status, ShouldEqual, http.StatusServiceUnavailable)
 		}
 		So(r.meters.vars.Get("permits.asked").String(), ShouldNotEqual, "0")
 		So(r.permits.issuer.Count(), ShouldEqual, 0)
 	})
-	Convey("Nor is one whose permit may have been given, as its answer did not come", t, func() {
-		r := contended()
-		o := lookup(time.Second)
-		v, c := r.owner(r.current.Load(), o, time.Now())
-		r.mesh = listenNowhere(t)
+	Convey("An attempt whose issuer did not answer holds a permit to release, since it may have been granted", t, func() {
+		r := contendedRouter()
+		req := lookupRequest(time.Second)
+		server, c := r.chooseHolder(r.current.Load(), req, time.Now())
+		r.mesh = idleMesh(t)
 		r.permits.issuers.Store(&map[string][]string{"x": {"127.0.0.1:1"}})
-		c = r.askPermit(context.Background(), o, v, c)
+		c = r.ensurePermit(context.Background(), req, server, c)
 		So(c.Refused(), ShouldBeFalse)
-		So(o.permit.issuer, ShouldEqual, "127.0.0.1:1")
-		So(r.issuerOf(v, "a 1"), ShouldBeEmpty)
+		So(req.permit.issuer, ShouldEqual, "127.0.0.1:1")
+		So(r.issuerFor(server, "a 1"), ShouldBeEmpty)
 	})
 }
 
-// listenNowhere makes the daemon's end of connections to others, to which none come.
-func listenNowhere(t *testing.T) *mesh.Mesh {
+// idleMesh returns a mesh to which no other daemon connects.
+func idleMesh(t *testing.T) *mesh.Mesh {
 	m, err := mesh.Listen("127.0.0.1:0", nil)
 	So(err, ShouldBeNil)
 	t.Cleanup(func() { _ = m.Close() })
 	return m
 }
 
-// Guards against a request that is refused for one long queue while other servers have room.
-func TestOtherServersAreAsked(t *testing.T) {
-	Convey("Servers of a kind are asked in turn, and then no more", t, func() {
-		r := contended()
+// Guards against a request that is refused for one long queue although other servers have free
+// capacity.
+func TestPermitDeniedTriesOtherServers(t *testing.T) {
+	Convey("A request tries a limited number of other servers", t, func() {
+		r := contendedRouter()
 		for i := range 20 {
 			r.control.members.Met(member.Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i)})
 		}
 		r.control.share()
 		r.serversAt(second(2), 20, entryOf("b", 11), entryOf("c", 12), entryOf("d", 13), entryOf("e", 14))
-		o := lookup(time.Second)
-		o.key, o.service.Keyed, o.need.Service = -1, false, config.Service{Name: "s"}
-		for _, v := range r.current.Load().fleet.All() {
+		req := lookupRequest(time.Second)
+		req.key, req.service.Keyed, req.requirements.Service = -1, false, config.Service{Name: "s"}
+		for _, server := range r.current.Load().fleet.All() {
 			for id := range uint64(20) {
-				r.permits.issuer.Acquire(time.Now(), permit.Request{Server: v.ID + " 1", ID: id, Slots: 20, ServiceTime: time.Second, TTL: time.Minute})
+				r.permits.issuer.Acquire(time.Now(), permit.Request{Server: server.ID + " 1", ID: id, Slots: 20, ServiceTime: time.Second, TTL: time.Minute})
 			}
-			r.spread.Begin(time.Now(), v, o.need)
-			r.spread.End(time.Now(), v, o.need, time.Now(), spread.Answered, &spread.Report{Running: 3, Waiting: 9, Slots: 3})
+			r.spread.Begin(time.Now(), server, req.requirements)
+			r.spread.End(time.Now(), server, req.requirements, time.Now(), spread.Answered, &spread.Report{Running: 3, Waiting: 9, Slots: 3})
 		}
-		reply := r.attempt(context.Background(), o)
+		reply := r.sendWithRetries(context.Background(), req)
 		So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
-		So(r.meters.vars.Get("refused."+string(contendedNow)).String(), ShouldEqual, "1")
-		So(r.meters.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+othersMost))
-		So(r.spread.OwnLoad(), ShouldBeEmpty) // what was not sent is not under way
+		So(r.meters.vars.Get("refused."+string(reasonServerContended)).String(), ShouldEqual, "1")
+		So(r.meters.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+maxOtherServers))
+		So(r.spread.OwnLoad(), ShouldBeEmpty) // requests that were not sent are not in flight
 	})
 }
 
-// Guards against an issuer that keeps what daemons which lost power never gave back.
-func TestIssuersForget(t *testing.T) {
-	Convey("What must have ended is dropped, and the count shown", t, func() {
-		r := contended()
-		_, refused := begun(r, 1)
+// Guards against an issuer that keeps counting requests of daemons which lost power and never
+// release their permits.
+func TestIssuerExpiresPermits(t *testing.T) {
+	Convey("Expired permits are dropped, and the metric shows the rest", t, func() {
+		r := contendedRouter()
+		_, refused := startRequests(r, 1)
 		So(refused, ShouldBeEmpty)
 		r.permits.issuer.Acquire(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, TTL: time.Second})
-		r.control.listIssuers(second(1))
+		r.control.refreshIssuers(second(1))
 		So(r.permits.issuer.Count(), ShouldEqual, 1)
 		So(r.meters.vars.Get("permits.counted").String(), ShouldEqual, "1")
 	})
 }
 
-// Guards against requests that are held up or refused since nobody issues permits.
-func TestNoIssuer(t *testing.T) {
-	Convey("Requests go to the holder without a permit", t, func() {
-		r := contended()
-		r.permits.absent["me"] = time.Now().Add(time.Minute)
-		So(begunOne(r), ShouldBeTrue)
-		r = contended()
+// Guards against requests that are delayed or refused because no issuer answers.
+func TestMissingIssuer(t *testing.T) {
+	Convey("Without an issuer, requests go to the holder without a permit", t, func() {
+		r := contendedRouter()
+		r.permits.absentUntil["me"] = time.Now().Add(time.Minute)
+		So(startsOne(r), ShouldBeTrue)
+		r = contendedRouter()
 		r.permits.issuers.Store(&map[string][]string{})
-		So(begunOne(r), ShouldBeTrue)
+		So(startsOne(r), ShouldBeTrue)
 	})
-	Convey("One that did not answer is passed over for the next", t, func() {
-		r := contended()
-		v, _ := r.current.Load().fleet.Find("a")
+	Convey("An issuer that did not answer is replaced by another one", t, func() {
+		r := contendedRouter()
+		server, _ := r.current.Load().fleet.Find("a")
 		r.permits.issuers.Store(&map[string][]string{"x": {"me", "you"}})
-		first := r.issuerOf(v, "a 1")
-		r.issuerLost(first, nil)
-		So(r.issuerOf(v, "a 1"), ShouldNotEqual, first)
-		So(r.issuerOf(v, "a 1"), ShouldNotBeEmpty)
+		first := r.issuerFor(server, "a 1")
+		r.markIssuerAbsent(first, nil)
+		So(r.issuerFor(server, "a 1"), ShouldNotEqual, first)
+		So(r.issuerFor(server, "a 1"), ShouldNotBeEmpty)
 	})
-	Convey("A list of contended holders that is old counts no more", t, func() {
-		r := contended()
-		r.permits.until = time.Now()
-		sent, _ := begun(r, 1)
+	Convey("An expired list of contended holders is ignored", t, func() {
+		r := contendedRouter()
+		r.permits.contendedUntil = time.Now()
+		sent, _ := startRequests(r, 1)
 		So(sent[0].permit.issuer, ShouldBeEmpty)
 	})
 }
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -8,59 +8,62 @@
 	"catkinstep/io/connection/caller"
 )
 
-// giveUp tells the caller at once. 503 says that the request did not run, and
-// when to come back; 502 and 504 say nothing of that.
-func (r *Router) giveUp(o *order, c spread.Choice, reason string, after time.Duration) caller.Reply {
-	if o.held != nil {
-		return r.answer(o, o.held)
+// giveUp ends a request without another attempt. Status 503 means that the request did not
+// run, and comes with a time after which to retry. With 502 and 504 the request may have
+// run.
+func (r *Router) giveUp(req *request, choice spread.Choice, reason string, retryAfter time.Duration) caller.Reply {
+	if req.fallbackAnswer != nil {
+		return r.callerReply(req, req.fallbackAnswer)
 	}
-	if !o.maybeRan {
-		return r.refuseOrder(o, reason, after, r.grounds(o, c)...)
+	if !req.maybeRan {
+		return r.refuseRequest(req, reason, retryAfter, r.decisionAttrs(req, choice)...)
 	}
 	status := http.StatusBadGateway
-	if !time.Now().Before(o.deadline) {
+	if !time.Now().Before(req.deadline) {
 		status = http.StatusGatewayTimeout
 	}
-	r.log.Info("request: given up, may have run", append([]any{"id", o.id, "route", o.route.Name, "reason", reason, "status", status}, r.grounds(o, c)...)...)
-	return *r.plain(o.id, status, reason)
+	r.log.Info("request: given up, may have run", append([]any{"id", req.id, "route", req.route.Name, "reason", reason, "status", status}, r.decisionAttrs(req, choice)...)...)
+	return *r.finalReply(req.id, status, reason)
 }
 
-// grounds are what a decision about a request was made by, with its versions.
-func (r *Router) grounds(o *order, c spread.Choice) []any {
-	s := r.current.Load()
-	return []any{"service", o.service.Name, "key", o.key, "server", c.Server.ID, "expected", c.ExpectedTime.String(), "aim", o.route.LatencyTarget.String(),
-		"left", time.Until(o.deadline).String(), "attempts", o.attempts(), "config", s.config.Version, "epoch", s.table.Epoch, "seq", s.table.Seq}
+// decisionAttrs returns, as log attributes, what a decision about a request was based on,
+// including the versions of the configuration and the table.
+func (r *Router) decisionAttrs(req *request, choice spread.Choice) []any {
+	snap := r.current.Load()
+	return []any{"service", req.service.Name, "key", req.key, "server", choice.Server.ID, "expected", choice.ExpectedTime.String(), "aim", req.route.LatencyTarget.String(),
+		"left", time.Until(req.deadline).String(), "attempts", req.attempts(), "config", snap.config.Version, "epoch", snap.table.Epoch, "seq", snap.table.Seq}
 }
 
-// refuseOrder refuses a request that was understood. That this try did not run says nothing
-// of an earlier one under the same id: its caller would book anew, under another.
-func (r *Router) refuseOrder(o *order, reason string, after time.Duration, grounds ...any) caller.Reply {
-	f := caller.Refusal{ID: o.id, Status: http.StatusServiceUnavailable, Reason: reason, After: after, MaybeRan: r.wasSent(o)}
-	if f.MaybeRan {
-		grounds = append(grounds, "earlierTry", "mayHaveRun")
+// refuseRequest refuses a resolved request. If the caller sent the same id before, that
+// attempt may have run although this one did not. The refusal says so, since otherwise the
+// caller would submit the request again under a new id and it could run twice.
+func (r *Router) refuseRequest(req *request, reason string, retryAfter time.Duration, attrs ...any) caller.Reply {
+	refusal := caller.Refusal{ID: req.id, Status: http.StatusServiceUnavailable, Reason: reason, After: retryAfter, MaybeRan: r.wasSentBefore(req)}
+	if refusal.MaybeRan {
+		attrs = append(attrs, "earlierTry", "mayHaveRun")
 	}
-	return r.refuse(f, o.route.Name, grounds...)
+	return r.refuse(refusal, req.route.Name, attrs...)
 }
 
-// refuse tells a caller that a try did not run, and when to come back.
-func (r *Router) refuse(f caller.Refusal, route string, grounds ...any) caller.Reply {
-	f.After = max(f.After, minRetry)
-	r.meters.add("refused." + f.Reason)
-	r.log.Info("request: refused, not run", append([]any{"id", f.ID, "route", route, "reason", f.Reason, "retryAfter", f.After.String()}, grounds...)...)
-	return r.refusal(f)
+// refuse replies that this attempt did not run, and after which time to retry.
+func (r *Router) refuse(refusal caller.Refusal, route string, attrs ...any) caller.Reply {
+	refusal.After = max(refusal.After, minRetryAfter)
+	r.meters.increment("refused." + refusal.Reason)
+	r.log.Info("request: refused, not run", append([]any{"id", refusal.ID, "route", route, "reason", refusal.Reason, "retryAfter", refusal.After.String()}, attrs...)...)
+	return r.refusalReply(refusal)
 }
 
-// minRetry keeps callers from coming back within the time that an answer takes.
-const minRetry = 50 * time.Millisecond
+// minRetryAfter keeps callers from retrying within the time that an answer takes.
+const minRetryAfter = 50 * time.Millisecond
 
-// plain is a final answer that asks nobody to come back. One of 500 and above
-// says that the request may have run.
-func (r *Router) plain(id string, status int, reason string) *caller.Reply {
-	reply := r.refusal(caller.Refusal{ID: id, Status: status, Reason: reason, MaybeRan: status >= http.StatusInternalServerError})
+// finalReply returns a reply without a time after which to retry. A status of 500 or above
+// means that the request may have run.
+func (r *Router) finalReply(id string, status int, reason string) *caller.Reply {
+	reply := r.refusalReply(caller.Refusal{ID: id, Status: status, Reason: reason, MaybeRan: status >= http.StatusInternalServerError})
 	return &reply
 }
 
-func (r *Router) refusal(f caller.Refusal) caller.Reply {
-	h, body := r.protocol.Refused(f)
-	return caller.Reply{Status: f.Status, Header: h, Body: body}
+func (r *Router) refusalReply(refusal caller.Refusal) caller.Reply {
+	header, body := r.protocol.Refused(refusal)
+	return caller.Reply{Status: refusal.Status, Header: header, Body: body}
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -49,7 +49,7 @@
 	tomb    tomb.Tomb
 	control *control
 	inbox   chan any
-	current atomic.Pointer[snap]
+	current atomic.Pointer[snapshot]
 	// opened is closed and replaced when a new table is in force.
 	opened  atomic.Pointer[chan struct{}]
 	ready   atomic.Bool
@@ -64,11 +64,11 @@
 	budgets map[string]*retry.Budget
 	// suspects are requests that servers were lost with.
 	suspects   *crash.Suspects
-	suspicions recent[*wire.Suspect]
+	suspicions piggybackBuffer[*wire.Suspect]
 	// sent are the ids of requests that must run once; unanswered are those that may have
 	// run without an answer.
 	sent       *sent.History
-	unanswered recent[firstSent]
+	unanswered piggybackBuffer[sentRecord]
 	burn       *burn.Meter
 	// gaps are how long ranges stayed closed.
 	gaps    *gaps.Meter
@@ -83,7 +83,7 @@
 	heat    map[heatKey]heatCount
 	random  *rand.Rand
 
-	meters *meters
+	meters *metrics
 }
 
 type heatKey struct {
@@ -110,9 +110,9 @@
 func New(s setup.Settings, st Store, sp Protocol, opts ...Option) *Router {
 	r := &Router{
 		settings: s, store: st, protocol: sp, log: slog.Default(),
-		hold: keeper.DefaultHold, now: clock.Now, meters: newMeters(), bounds: s, daemons: 1,
+		hold: keeper.DefaultHold, now: clock.Now, meters: newMetrics(), bounds: s, daemons: 1,
 		inbox: make(chan any, inboxSize), running: make(chan struct{}),
-		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashBound, crashKeep), sent: sent.New(keepSent), heat: map[heatKey]heatCount{},
+		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sent: sent.New(sentRetention), heat: map[heatKey]heatCount{},
 		self: member.Member{Name: s.Name, Address: s.Mesh, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
@@ -126,11 +126,11 @@
 	r.gaps = gaps.New()
 	seed := seedOf(r.self)
 	r.gate = admit.NewLimiter(seed)
-	r.permits.issuer, r.permits.absent, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
+	r.permits.issuer, r.permits.absentUntil, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
 	r.opened.Store(new(make(chan struct{})))
 	r.random = rand.New(rand.NewPCG(seed, 23))
 	r.spread = spread.New(seed, r.limits().WithDaemons(1, 0))
-	r.current.Store((&snap{}).withFleet(fleet.New(nil), nil))
+	r.current.Store((&snapshot{}).withFleet(fleet.New(nil), nil))
 	r.booted, r.boot = make(chan struct{}), boot.New(r.now())
 	r.control = newControl(r, r.now())
 	r.callers = caller.New(r.serve, caller.WithLimits(r.callerLimits))
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -12,116 +12,120 @@
 	"catkinstep/io/connection/link"
 )
 
-// keepSent is how long the ids of requests that must run once are remembered: as long as
-// holders keep them.
-const keepSent = 2 * time.Minute
+// sentRetention is how long the ids of deduplicated requests are kept. Servers keep them for
+// the same time.
+const sentRetention = 2 * time.Minute
 
-// firstSent is an id that was sent and may have run, as other daemons learn of it.
-type firstSent struct {
-	hash uint64
-	at   time.Time
+// sentRecord records when a request was first sent. If it may have run without an answer, the
+// record is shared with the other daemons.
+type sentRecord struct {
+	hash        uint64
+	firstSentAt time.Time
 }
 
-// keepsIDs tells whether the holder of a request's key keeps its id.
-func (r *Router) keepsIDs(o *order) bool {
-	return !o.route.Idempotent && o.key >= 0 && r.protocol.Names().FirstSent != ""
+// holderDeduplicates reports whether the holder of the request's key records its id, so that
+// it runs at most once.
+func (r *Router) holderDeduplicates(req *request) bool {
+	return !req.route.Idempotent && req.key >= 0 && r.protocol.Names().FirstSent != ""
 }
 
-// hash stands for a request that must run once, with all copies of it.
-func (o *order) hash() uint64 { return sent.Hash(o.service.Name, o.key, o.id) }
+// sentHash identifies a deduplicated request. All copies of the request share it.
+func (req *request) sentHash() uint64 { return sent.Hash(req.service.Name, req.key, req.id) }
 
-// wasSent tells whether a request that must run once was sent under its id before, and may
+// wasSentBefore reports whether a deduplicated request was sent under its id before and may
 // have run.
-func (r *Router) wasSent(o *order) bool {
-	if !r.keepsIDs(o) {
+func (r *Router) wasSentBefore(req *request) bool {
+	if !r.holderDeduplicates(req) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent.Has(o.hash())
+	return r.sent.Has(req.sentHash())
 }
 
-// noteSent notes that a request is about to be sent, and tells its server when it first
-// was. A caller may know of an earlier time than the daemons do.
-func (r *Router) noteSent(o *order) (firstSent, bool) {
+// recordSent records that a request is about to be sent. If it was sent before, a header tells
+// the server how long ago it was first sent. The caller may set the same header if it knows of
+// an earlier time than the daemons do.
+func (r *Router) recordSent(req *request) (sentRecord, bool) {
 	now := time.Now()
 	r.mu.Lock()
-	first, again := r.sent.Record(now, o.hash())
+	firstSentAt, repeated := r.sent.Record(now, req.sentHash())
 	r.mu.Unlock()
-	ago, name := now.Sub(first), r.protocol.Names().FirstSent
-	ms, err := strconv.ParseInt(o.Header.Get(name), 10, 64)
-	o.Header.Del(name)
+	sinceFirst, name := now.Sub(firstSentAt), r.protocol.Names().FirstSent
+	callerMillis, err := strconv.ParseInt(req.Header.Get(name), 10, 64)
+	req.Header.Del(name)
 	if err == nil {
-		ago = max(ago, time.Duration(ms)*time.Millisecond)
+		sinceFirst = max(sinceFirst, time.Duration(callerMillis)*time.Millisecond)
 	}
-	if again || err == nil {
-		o.Header.Set(name, strconv.FormatInt(ago.Milliseconds()+1, 10))
+	if repeated || err == nil {
+		req.Header.Set(name, strconv.FormatInt(sinceFirst.Milliseconds()+1, 10))
 	}
-	return firstSent{hash: o.hash(), at: first}, again
+	return sentRecord{hash: req.sentHash(), firstSentAt: firstSentAt}, repeated
 }
 
-// noteEnd takes in how a request that must run once ended at its holder. The other daemons
-// learn of one that may have run without its caller's knowing: it is sent again by any of
-// them, perhaps after its holder was lost.
-func (r *Router) noteEnd(ctx context.Context, f firstSent, again bool, a *link.Answer, err error) {
+// recordSentOutcome records how an attempt of a deduplicated request ended. If the request may
+// have run without its caller getting the answer, the other daemons are informed: the caller
+// may send it again through any of them, possibly after the holder was lost.
+func (r *Router) recordSentOutcome(ctx context.Context, record sentRecord, repeated bool, a *link.Answer, err error) {
 	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
 	unanswered := err != nil && !notRun || ctx.Err() != nil
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if notRun {
-		if !again {
-			r.sent.Forget(f.hash)
+		if !repeated {
+			r.sent.Forget(record.hash)
 		}
 		return
 	}
-	// Another copy that did not run may have made it forgotten.
-	r.sent.RecordAt(time.Now(), f.hash, f.at)
+	// A concurrent copy that did not run may have removed the record.
+	r.sent.RecordAt(time.Now(), record.hash, record.firstSentAt)
 	if !unanswered {
 		return
 	}
-	if !r.unanswered.add(time.Now(), f) {
-		r.meters.add("sent.notPassedOn")
+	if !r.unanswered.add(time.Now(), record) {
+		r.meters.increment("sent.notPassedOn")
 		return
 	}
 	if link.KindOf(err) == link.Unsure {
-		go r.post(urgentMsg{}) // not to wait under the lock; its holder may be lost
+		go r.post(urgentMsg{}) // asynchronous, as the lock is held; urgent, as the holder may be lost
 	}
 }
 
-// sentNews lists the ids that may have run without an answer lately.
-func (r *Router) sentNews() []*wire.Sent {
+// unansweredSent returns the requests that recently may have run without an answer, for
+// gossip.
+func (r *Router) unansweredSent() []*wire.Sent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	var out []*wire.Sent
-	for _, f := range r.unanswered.list(now) {
-		out = append(out, &wire.Sent{Id: f.hash, AgoMillis: uint32(now.Sub(f.at).Milliseconds())})
+	for _, record := range r.unanswered.list(now) {
+		out = append(out, &wire.Sent{Id: record.hash, AgoMillis: uint32(now.Sub(record.firstSentAt).Milliseconds())})
 	}
 	return out
 }
 
-// heardOfSent takes in what another daemon sent without an answer, and passes on what is
-// new.
-func (r *Router) heardOfSent(news []*wire.Sent) {
-	if len(news) == 0 {
+// mergeSent records requests that other daemons sent without getting an answer, and forwards
+// the new ones with this daemon's gossip.
+func (r *Router) mergeSent(reported []*wire.Sent) {
+	if len(reported) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	for _, s := range news {
-		at := now.Add(-millis(s.AgoMillis))
-		if r.sent.RecordAt(now, s.Id, at) && !r.unanswered.add(now, firstSent{hash: s.Id, at: at}) {
-			r.meters.add("sent.notPassedOn")
+	for _, s := range reported {
+		firstSentAt := now.Add(-millis(s.AgoMillis))
+		if r.sent.RecordAt(now, s.Id, firstSentAt) && !r.unanswered.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
+			r.meters.increment("sent.notPassedOn")
 		}
 	}
 }
 
-// outcomeLost answers a request that may have run at a holder which was lost. It will not
-// run under this id.
-func (r *Router) outcomeLost(o *order, server string) caller.Reply {
-	r.meters.add("sent.lost")
-	r.log.Info("request: given up, may have run", "id", o.id, "route", o.route.Name, "reason", reasonLost, "service", o.service.Name, "key", o.key,
-		"server", server, "firstSentMillis", o.Header.Get(r.protocol.Names().FirstSent))
-	return *r.plain(o.id, http.StatusBadGateway, reasonLost)
+// replyOutcomeLost replies to a request that may have run at a holder that was lost. The request
+// is not run again under this id.
+func (r *Router) replyOutcomeLost(req *request, server string) caller.Reply {
+	r.meters.increment("sent.lost")
+	r.log.Info("request: given up, may have run", "id", req.id, "route", req.route.Name, "reason", reasonOutcomeLost, "service", req.service.Name, "key", req.key,
+		"server", server, "firstSentMillis", req.Header.Get(r.protocol.Names().FirstSent))
+	return *r.finalReply(req.id, http.StatusBadGateway, reasonOutcomeLost)
 }
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -16,135 +16,139 @@
 	"catkinstep/io/connection/link"
 )
 
-// booked is an order of a booking with an id.
-func booked(id string) *order {
-	o := lookup(time.Second)
-	o.route.Idempotent, o.id = false, id
-	o.Request.Request = httptest.NewRequest(http.MethodPost, "/book", nil)
-	return o
+// bookingRequest returns a non-idempotent request with an id.
+func bookingRequest(id string) *request {
+	req := lookupRequest(time.Second)
+	req.route.Idempotent, req.id = false, id
+	req.Request.Request = httptest.NewRequest(http.MethodPost, "/book", nil)
+	return req
 }
 
-func (r *Router) ends(o *order, a *link.Answer, err error) {
-	first, again := r.noteSent(o)
-	r.noteEnd(context.Background(), first, again, a, err)
+// sendAndRecord records an attempt with the given end.
+func (r *Router) sendAndRecord(req *request, a *link.Answer, err error) {
+	record, repeated := r.recordSent(req)
+	r.recordSentOutcome(context.Background(), record, repeated, a, err)
 }
 
-// tells is whether the next attempt of an id bears its age.
-func (r *Router) tells(id string) bool {
-	o := booked(id)
-	r.noteSent(o)
-	return o.Header.Get(names.Default().FirstSent) != ""
+// sendsAge reports whether the next attempt under an id has the first-sent header.
+func (r *Router) sendsAge(id string) bool {
+	req := bookingRequest(id)
+	r.recordSent(req)
+	return req.Header.Get(names.Default().FirstSent) != ""
 }
 
 var (
-	errBroken  = &link.Error{Op: "read", Kind: link.Unsure}
-	errNotSent = &link.Error{Op: "dial", Kind: link.Refused}
+	errConnectionBroken = &link.Error{Op: "read", Kind: link.Unsure}
+	errNotSent          = &link.Error{Op: "dial", Kind: link.Refused}
 )
 
-// Guards against a booking whose holder cannot tell that it was sent before, and against one that is refused although it never was.
-func TestAgeOfABooking(t *testing.T) {
-	Convey("It goes with what was sent before and may have run", t, func() {
+// Guards against a booking whose holder does not learn that it was sent before, and against a
+// booking that a holder refuses as sent before although it never was.
+func TestFirstSentHeader(t *testing.T) {
+	Convey("A request that was sent before and may have run has the header", t, func() {
 		r := still()
-		r.ends(booked("a"), nil, errBroken)
-		So(r.tells("a"), ShouldBeTrue)
-		So(r.tells("other"), ShouldBeFalse)
-		elsewhere := booked("a")
-		elsewhere.key++
-		r.noteSent(elsewhere)
-		So(elsewhere.Header.Get(names.Default().FirstSent), ShouldBeEmpty)
+		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
+		So(r.sendsAge("a"), ShouldBeTrue)
+		So(r.sendsAge("other"), ShouldBeFalse)
+		otherKey := bookingRequest("a")
+		otherKey.key++
+		r.recordSent(otherKey)
+		So(otherKey.Header.Get(names.Default().FirstSent), ShouldBeEmpty)
 	})
-	Convey("What surely did not run was not sent, unless an earlier attempt may have run", t, func() {
+	Convey("A request that certainly did not run is forgotten, unless an earlier attempt may have run", t, func() {
 		r := still()
-		r.ends(booked("a"), nil, errNotSent)
-		r.ends(booked("b"), &link.Answer{NotRun: true}, nil)
-		r.ends(booked("c"), nil, errBroken)
-		r.ends(booked("c"), nil, errNotSent)
-		So(r.tells("a"), ShouldBeFalse)
-		So(r.tells("b"), ShouldBeFalse)
-		So(r.tells("c"), ShouldBeTrue)
+		r.sendAndRecord(bookingRequest("a"), nil, errNotSent)
+		r.sendAndRecord(bookingRequest("b"), &link.Answer{NotRun: true}, nil)
+		r.sendAndRecord(bookingRequest("c"), nil, errConnectionBroken)
+		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
+		So(r.sendsAge("a"), ShouldBeFalse)
+		So(r.sendsAge("b"), ShouldBeFalse)
+		So(r.sendsAge("c"), ShouldBeTrue)
 	})
-	Convey("A copy that did not run takes nothing away from another one that may have", t, func() {
+	Convey("A copy that did not run does not remove the record of a concurrent one that may have", t, func() {
 		r := still()
-		refused, ran := booked("a"), booked("a")
-		first, again := r.noteSent(refused)
-		later, laterAgain := r.noteSent(ran)
-		r.noteEnd(context.Background(), first, again, nil, errNotSent)
-		r.noteEnd(context.Background(), later, laterAgain, nil, errBroken)
-		So(r.tells("a"), ShouldBeTrue)
+		refused, broken := bookingRequest("a"), bookingRequest("a")
+		record, repeated := r.recordSent(refused)
+		otherRecord, otherRepeated := r.recordSent(broken)
+		r.recordSentOutcome(context.Background(), record, repeated, nil, errNotSent)
+		r.recordSentOutcome(context.Background(), otherRecord, otherRepeated, nil, errConnectionBroken)
+		So(r.sendsAge("a"), ShouldBeTrue)
 	})
-	Convey("A caller may know of an earlier time", t, func() {
-		r, o := still(), booked("a")
-		o.Header.Set(names.Default().FirstSent, "60000")
-		r.noteSent(o)
-		So(o.Header.Get(names.Default().FirstSent), ShouldEqual, "60001")
+	Convey("An earlier time that the caller sends is kept", t, func() {
+		r, req := still(), bookingRequest("a")
+		req.Header.Set(names.Default().FirstSent, "60000")
+		r.recordSent(req)
+		So(req.Header.Get(names.Default().FirstSent), ShouldEqual, "60001")
 	})
 }
 
-// lastRefusal is a protocol that keeps the last refusal.
-type lastRefusal struct {
+// refusalRecorder is a protocol that stores the last refusal.
+type refusalRecorder struct {
 	mute
-	was *caller.Refusal
+	last *caller.Refusal
 }
 
-func (l lastRefusal) Refused(f caller.Refusal) (http.Header, []byte) {
-	*l.was = f
+func (l refusalRecorder) Refused(f caller.Refusal) (http.Header, []byte) {
+	*l.last = f
 	return http.Header{}, nil
 }
 
-// Guards against a caller that books anew under another id, since the refusal of a later try says "not run".
-func TestRefusalOfALaterTry(t *testing.T) {
-	Convey("It says that the booking may have run", t, func() {
-		r, was := still(), caller.Refusal{}
-		r.protocol = lastRefusal{was: &was}
+// Guards against a booking that runs twice: if the refusal of a later attempt says "not run"
+// although an earlier one may have, its caller books again under a new id.
+func TestRefusalAfterAnEarlierAttempt(t *testing.T) {
+	Convey("The refusal says that the booking may have run", t, func() {
+		r, last := still(), caller.Refusal{}
+		r.protocol = refusalRecorder{last: &last}
 		refused := func(id string) caller.Refusal {
-			reply := r.giveUp(booked(id), spread.Choice{}, string(moving), time.Second)
+			reply := r.giveUp(bookingRequest(id), spread.Choice{}, string(reasonKeyMoving), time.Second)
 			So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
-			So(was.After, ShouldEqual, time.Second)
-			return was
+			So(last.After, ShouldEqual, time.Second)
+			return last
 		}
 		So(refused("a").MaybeRan, ShouldBeFalse)
-		r.ends(booked("a"), nil, errNotSent)
+		r.sendAndRecord(bookingRequest("a"), nil, errNotSent)
 		So(refused("a").MaybeRan, ShouldBeFalse)
-		r.ends(booked("a"), nil, errBroken)
+		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
 		So(refused("a").MaybeRan, ShouldBeTrue)
 		So(refused("other").MaybeRan, ShouldBeFalse)
 	})
 }
 
-// Guards against a second run by way of a daemon that never saw the booking.
-func TestOtherDaemonsLearnOfUnansweredBookings(t *testing.T) {
-	Convey("What may have run without an answer is passed on, what was answered is not", t, func() {
+// Guards against a second run of a booking that its caller sends again through a daemon which
+// never saw it.
+func TestUnansweredRequestsAreGossiped(t *testing.T) {
+	Convey("Requests that may have run without an answer are gossiped, others are not", t, func() {
 		r, other := still(), still()
-		r.ends(booked("a"), nil, errBroken)
-		r.ends(booked("b"), &link.Answer{Status: http.StatusOK}, nil)
-		r.ends(booked("c"), nil, errNotSent)
-		found := r.sentNews()
-		So(found, ShouldHaveLength, 1)
-		So(found[0].Id, ShouldEqual, booked("a").hash())
-		other.heardOfSent([]*wire.Sent{{Id: found[0].Id, AgoMillis: 900}})
-		So(other.tells("a"), ShouldBeTrue)
-		So(other.sentNews(), ShouldHaveLength, 1) // it goes on from there
-		Convey("once", func() {
-			other.unanswered = recent[firstSent]{}
-			other.heardOfSent([]*wire.Sent{{Id: found[0].Id, AgoMillis: 800}})
-			So(other.sentNews(), ShouldBeEmpty)
+		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
+		r.sendAndRecord(bookingRequest("b"), &link.Answer{Status: http.StatusOK}, nil)
+		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
+		sent := r.unansweredSent()
+		So(sent, ShouldHaveLength, 1)
+		So(sent[0].Id, ShouldEqual, bookingRequest("a").sentHash())
+		other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 900}})
+		So(other.sendsAge("a"), ShouldBeTrue)
+		So(other.unansweredSent(), ShouldHaveLength, 1) // forwarded by the receiver
+		Convey("A receiver forwards a request only once", func() {
+			other.unanswered = piggybackBuffer[sentRecord]{}
+			other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 800}})
+			So(other.unansweredSent(), ShouldBeEmpty)
 		})
 	})
-	Convey("Also when its caller left before the answer", t, func() {
+	Convey("A request whose caller left before the answer is gossiped, too", t, func() {
 		r := still()
-		ctx, leave := context.WithCancel(context.Background())
-		first, again := r.noteSent(booked("a"))
-		leave()
-		r.noteEnd(ctx, first, again, &link.Answer{Status: http.StatusOK}, nil)
-		So(r.sentNews(), ShouldHaveLength, 1)
+		ctx, cancel := context.WithCancel(context.Background())
+		record, repeated := r.recordSent(bookingRequest("a"))
+		cancel()
+		r.recordSentOutcome(ctx, record, repeated, &link.Answer{Status: http.StatusOK}, nil)
+		So(r.unansweredSent(), ShouldHaveLength, 1)
 	})
-	Convey("No more than a bounded number at once", t, func() {
-		var news recent[int]
-		for i := range passOnMost {
-			So(news.add(t0, i), ShouldBeTrue)
+	Convey("The number of items in a gossip message is limited", t, func() {
+		var buffer piggybackBuffer[int]
+		for i := range maxPiggybackItems {
+			So(buffer.add(t0, i), ShouldBeTrue)
 		}
-		So(news.add(t0, 0), ShouldBeFalse)
-		So(news.list(t0.Add(passOnFor)), ShouldBeEmpty)
-		So(news.add(t0.Add(passOnFor), 0), ShouldBeTrue)
+		So(buffer.add(t0, 0), ShouldBeFalse)
+		So(buffer.list(t0.Add(piggybackDuration)), ShouldBeEmpty)
+		So(buffer.add(t0.Add(piggybackDuration), 0), ShouldBeTrue)
 	})
 }
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -18,183 +18,187 @@
 	"catkinstep/io/connection/link"
 )
 
-// Reasons of refusals beside those of package spread, as logs and counters name
-// them.
+// Reasons for replies that do not come from a server, in addition to those of package
+// spread. Logs and metrics use these names.
 const (
-	reasonNoConfig = "noConfiguration"
-	reasonCrashes  = "crashesServers"
-	reasonNotHeld  = "serverNotHoldingOrFull"
-	reasonFailed   = "attemptFailed"
-	reasonNoRoute  = "noRoute"
-	reasonNoKey    = "missingKey"
-	reasonLeft     = "callerLeft"
-	reasonLost     = "outcomeLost"
+	reasonNoConfig      = "noConfiguration"
+	reasonCrashSuspect  = "crashesServers"
+	reasonNotHeldOrFull = "serverNotHoldingOrFull"
+	reasonAttemptFailed = "attemptFailed"
+	reasonNoRoute       = "noRoute"
+	reasonNoKey         = "missingKey"
+	reasonCallerLeft    = "callerLeft"
+	reasonOutcomeLost   = "outcomeLost"
 )
 
-// order is one caller's request on its way.
-type order struct {
+// request is the state of one caller's request while it is served.
+type request struct {
 	caller.Request
-	id       string
-	target   string // the path that goes to the server
-	route    config.Route
-	service  config.Service
-	key      int // -1 where the service has no keys
-	deadline time.Time
-	need     spread.Requirements
-	print    uint64    // the same for each try of the same content
-	arrived  int       // attempts that may have reached a server
-	unsent   int       // attempts that reached none
-	began    time.Time // of the present attempt
-	admitted bool      // whether it may go to an overloaded holder
-	opensBy  time.Time // when its range has surely opened, if that is closed
-	maybeRan bool
-	permit   permitted // for the present attempt, if its server is contended
-	// turnedDown is how many servers gave no permit.
-	turnedDown int
-	// held is a server's own failure, given to the caller if nothing better comes.
-	held *link.Answer
+	id           string
+	target       string // the request URI that is sent to the server
+	route        config.Route
+	service      config.Service
+	key          int // -1 if the service is not keyed
+	deadline     time.Time
+	requirements spread.Requirements
+	fingerprint  uint64     // identifies the content; the same for each attempt and resubmission
+	arrived      int        // attempts that may have reached a server
+	unsent       int        // attempts that reached no server
+	attemptStart time.Time  // of the current attempt
+	admitted     bool       // the limiter admitted it to the holder of its key
+	rangeOpensBy time.Time  // latest time at which its range opens, if the range is closed
+	maybeRan     bool       // an earlier attempt may have run
+	permit       heldPermit // of the current attempt, if its server is contended
+	// permitsDenied is the number of servers for which a permit was denied.
+	permitsDenied int
+	// fallbackAnswer is an error answer from a server. The caller gets it if all further
+	// attempts fail without an answer.
+	fallbackAnswer *link.Answer
 }
 
-// serve answers one request and counts how it ended.
-func (r *Router) serve(ctx context.Context, q caller.Request) caller.Reply {
-	reply := r.handle(ctx, q)
-	r.meters.observe(reply.Status, time.Since(q.Read))
+// serve answers one request and records its status and latency.
+func (r *Router) serve(ctx context.Context, callerReq caller.Request) caller.Reply {
+	reply := r.handle(ctx, callerReq)
+	r.meters.observeRequest(reply.Status, time.Since(callerReq.Read))
 	return reply
 }
 
-// weighEnd counts how a request ended against its service level.
-func (r *Router) weighEnd(o *order, reply caller.Reply) {
-	kind := burn.Good
-	switch took := time.Since(o.Read); {
+// recordServiceLevel counts the outcome of a request for its service level objective.
+func (r *Router) recordServiceLevel(req *request, reply caller.Reply) {
+	outcome := burn.Good
+	switch elapsed := time.Since(req.Read); {
 	case reply.Status == http.StatusServiceUnavailable:
-		kind = burn.Refused
+		outcome = burn.Refused
 	case reply.Status >= http.StatusInternalServerError:
-		kind = burn.Unknown
-	case took > o.route.LatencyTarget:
-		kind = burn.Slow
+		outcome = burn.Unknown
+	case elapsed > req.route.LatencyTarget:
+		outcome = burn.Slow
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.burn.Count(r.now(), o.service.Name, kind)
+	r.burn.Count(r.now(), req.service.Name, outcome)
 }
 
-func (r *Router) handle(ctx context.Context, q caller.Request) caller.Reply {
-	r.awaitBoot(ctx, q)
-	s := r.current.Load()
-	id := r.protocol.ID(q.Header)
-	if !s.configured {
+func (r *Router) handle(ctx context.Context, callerReq caller.Request) caller.Reply {
+	r.awaitBoot(ctx, callerReq)
+	snap := r.current.Load()
+	id := r.protocol.ID(callerReq.Header)
+	if !snap.configured {
 		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, After: notReadyRetry}, "")
 	}
-	o, bad := r.understand(s, q, id)
-	if bad != nil {
-		return *bad
+	req, rejection := r.resolve(snap, callerReq, id)
+	if rejection != nil {
+		return *rejection
 	}
-	o.print = fingerprint(o)
-	reply := r.run(ctx, o)
-	r.weighEnd(o, reply)
+	req.fingerprint = fingerprintOf(req)
+	reply := r.dispatch(ctx, req)
+	r.recordServiceLevel(req, reply)
 	return reply
 }
 
-// run serves a request that was understood.
-func (r *Router) run(ctx context.Context, o *order) caller.Reply {
-	if r.crashes(o) {
-		return r.refuseOrder(o, reasonCrashes, crashKeep/4)
+// dispatch serves a resolved request, unless its content is suspected of crashing servers.
+func (r *Router) dispatch(ctx context.Context, req *request) caller.Reply {
+	if r.checkCrashSuspect(req) {
+		return r.refuseRequest(req, reasonCrashSuspect, crashRetention/4)
 	}
-	r.count(o)
-	return r.attempt(ctx, o)
+	r.recordArrival(req)
+	return r.sendWithRetries(ctx, req)
 }
 
-// understand finds what a request is about and how long it may take.
-func (r *Router) understand(s *snap, q caller.Request, id string) (*order, *caller.Reply) {
-	route, ok := s.config.Match(q.Host, q.URL.EscapedPath(), q.Method)
+// resolve determines the route, service, key and deadline of a request. If the request
+// has no route or lacks its key, it returns the reply instead.
+func (r *Router) resolve(snap *snapshot, callerReq caller.Request, id string) (*request, *caller.Reply) {
+	route, ok := snap.config.Match(callerReq.Host, callerReq.URL.EscapedPath(), callerReq.Method)
 	if !ok {
-		r.log.Info("request: no route", "id", id, "host", q.Host, "path", q.URL.Path, "version", s.config.Version)
-		return nil, r.plain(id, http.StatusNotFound, reasonNoRoute)
+		r.log.Info("request: no route", "id", id, "host", callerReq.Host, "path", callerReq.URL.Path, "version", snap.config.Version)
+		return nil, r.finalReply(id, http.StatusNotFound, reasonNoRoute)
 	}
-	o := &order{Request: q, id: id, route: route, key: -1, target: strings.TrimPrefix(q.RequestURI, route.StripPrefix)}
-	o.service, _ = s.config.Service(route.PickService(r.draw()))
-	o.deadline = q.Read.Add(route.Timeout)
-	if patience, ok := r.protocol.Patience(q.Header); ok && patience < route.Timeout {
-		o.deadline = q.Read.Add(patience)
+	req := &request{Request: callerReq, id: id, route: route, key: -1, target: strings.TrimPrefix(callerReq.RequestURI, route.StripPrefix)}
+	req.service, _ = snap.config.Service(route.PickService(r.randomFloat()))
+	req.deadline = callerReq.Read.Add(route.Timeout)
+	if callerTimeout, ok := r.protocol.Patience(callerReq.Header); ok && callerTimeout < route.Timeout {
+		req.deadline = callerReq.Read.Add(callerTimeout)
 	}
-	if o.service.Keyed {
-		if o.key, ok = r.protocol.Key(o.service, o.target, q.Header); !ok || o.key < 0 || o.key > grant.LastKey {
-			r.log.Info("request: no key", "id", id, "route", route.Name, "path", o.target)
-			return nil, r.plain(id, http.StatusBadRequest, reasonNoKey)
+	if req.service.Keyed {
+		if req.key, ok = r.protocol.Key(req.service, req.target, callerReq.Header); !ok || req.key < 0 || req.key > grant.LastKey {
+			r.log.Info("request: no key", "id", id, "route", route.Name, "path", req.target)
+			return nil, r.finalReply(id, http.StatusBadRequest, reasonNoKey)
 		}
 	}
-	o.need = spread.Requirements{Route: route.Name, Service: o.service, Aim: route.LatencyTarget, Priority: route.Priority,
-		ReceivedAt: q.Read, Deadline: o.deadline, LocalDataCentre: r.settings.DataCentre}
-	return o, nil
+	req.requirements = spread.Requirements{Route: route.Name, Service: req.service, Aim: route.LatencyTarget, Priority: route.Priority,
+		ReceivedAt: callerReq.Read, Deadline: req.deadline, LocalDataCentre: r.settings.DataCentre}
+	return req, nil
 }
 
-// attempts is how many there were.
-func (o *order) attempts() int { return o.arrived + o.unsent }
+// attempts returns the number of attempts made so far.
+func (req *request) attempts() int { return req.arrived + req.unsent }
 
-// answer is a server's answer as the caller gets it.
-func (r *Router) answer(o *order, a *link.Answer) caller.Reply {
-	h := a.Header
-	h.Del(r.protocol.Names().Load)
-	r.protocol.Answered(h, o.id, a.Server)
-	return caller.Reply{Status: a.Status, Header: h, Body: a.Body}
+// callerReply converts a server's answer into the reply to the caller.
+func (r *Router) callerReply(req *request, a *link.Answer) caller.Reply {
+	header := a.Header
+	header.Del(r.protocol.Names().Load)
+	r.protocol.Answered(header, req.id, a.Server)
+	return caller.Reply{Status: a.Status, Header: header, Body: a.Body}
 }
 
-// forwarded are the headers that go on to the server.
-func (r *Router) forwarded(o *order) http.Header {
-	h, n := o.Header, r.protocol.Names()
-	if h.Get(n.ID) != o.id {
-		h.Set(n.ID, o.id)
+// forwardedHeader prepares the request's header for the server: it sets the request id and
+// the key, and removes hop-by-hop fields.
+func (r *Router) forwardedHeader(req *request) http.Header {
+	header, names := req.Header, r.protocol.Names()
+	if header.Get(names.ID) != req.id {
+		header.Set(names.ID, req.id)
 	}
-	if o.key >= 0 && h.Get(n.Key) == "" {
-		h.Set(n.Key, strconv.Itoa(o.key))
+	if req.key >= 0 && header.Get(names.Key) == "" {
+		header.Set(names.Key, strconv.Itoa(req.key))
 	}
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Upgrade", "Expect", "Content-Length", "Transfer-Encoding"} {
-		if h.Get(name) == "" {
+		if header.Get(name) == "" {
 			continue
 		}
-		h.Del(name)
+		header.Del(name)
 	}
-	return h
+	return header
 }
 
-// count earns the share of retries of a request, and notes its key.
-func (r *Router) count(o *order) {
+// recordArrival counts a request for its key's bucket and deposits its share into the
+// service's retry budget.
+func (r *Router) recordArrival(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o.key >= 0 {
-		k := heatKey{service: o.service.Name, bucket: uint32(keeper.Bucket(o.key))}
-		r.heat[k] = r.heat[k].with(1, r.spread.TypicalTime(o.need), o.route.LatencyTarget)
+	if req.key >= 0 {
+		k := heatKey{service: req.service.Name, bucket: uint32(keeper.Bucket(req.key))}
+		r.heat[k] = r.heat[k].with(1, r.spread.TypicalTime(req.requirements), req.route.LatencyTarget)
 	}
-	b := r.budgets[o.service.Name]
-	if b == nil {
-		b = retry.NewBudget(r.retryShare()*retryMargin, int(r.burst()))
-		r.budgets[o.service.Name] = b
+	budget := r.budgets[req.service.Name]
+	if budget == nil {
+		budget = retry.NewBudget(r.retryShare()*retryMargin, int(r.burst()))
+		r.budgets[req.service.Name] = budget
 	}
-	b.Deposit()
+	budget.Deposit()
 }
 
-func (r *Router) draw() float64 {
+func (r *Router) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.Float64()
 }
 
-// setCold takes in how long a server says that it stays cold.
-func (r *Router) setCold(v fleet.Server) {
+// setCold records how long a server stays cold, as its entry reports.
+func (r *Router) setCold(server fleet.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.SetCold(time.Now(), v)
+	r.spread.SetCold(time.Now(), server)
 }
 
-// assumeCold takes the servers of a data centre for cold until they tell.
+// assumeCold treats all servers of a data centre as cold until they report otherwise.
 func (r *Router) assumeCold(dataCentre string) {
-	s := r.current.Load()
+	snap := r.current.Load()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, v := range s.fleet.All() {
-		service, _ := s.config.Service(v.Service)
-		if v.DataCentre == dataCentre {
-			r.spread.AssumeCold(v, time.Now().Add(service.ColdPeriod))
+	for _, server := range snap.fleet.All() {
+		service, _ := snap.config.Service(server.Service)
+		if server.DataCentre == dataCentre {
+			r.spread.AssumeCold(server, time.Now().Add(service.ColdPeriod))
 		}
 	}
 }
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -18,31 +18,33 @@
 	"catkinstep/io/connection/link"
 )
 
-// Guards against an idle holder that is left alone since it forgot a connection.
-func TestOnlyALackOfConnectionsIsSilence(t *testing.T) {
-	failed := func(k link.Kind) spread.Outcome {
-		return outcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
+// Guards against a healthy idle server that gets no requests because it closed a kept
+// connection: only a failure to connect counts as unreachable.
+func TestOutcomesOfLinkErrors(t *testing.T) {
+	outcomeOf := func(k link.Kind) spread.Outcome {
+		return attemptOutcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
 	}
-	Convey("A write that fails says nothing of the way to the server", t, func() {
-		So(failed(link.NoWay), ShouldEqual, spread.ConnectFailed)
-		So(failed(link.NotSent), ShouldEqual, spread.Failed)
-		So(failed(link.Refused), ShouldEqual, spread.ConnectionRefused)
+	Convey("A failed write does not mean that the server is unreachable", t, func() {
+		So(outcomeOf(link.NoWay), ShouldEqual, spread.ConnectFailed)
+		So(outcomeOf(link.NotSent), ShouldEqual, spread.Failed)
+		So(outcomeOf(link.Refused), ShouldEqual, spread.ConnectionRefused)
 		reset := &link.Error{Op: "read", Kind: link.Unsure, Err: syscall.ECONNRESET}
-		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.ConnectionReset)
+		So(attemptOutcome(context.Background(), nil, reset), ShouldEqual, spread.ConnectionReset)
 		reset.Kept = true
-		So(outcome(context.Background(), nil, reset), ShouldEqual, spread.Failed)
+		So(attemptOutcome(context.Background(), nil, reset), ShouldEqual, spread.Failed)
 	})
 }
 
-// Guards against counts by which no server would lose anything.
-func TestCountsBearWorkAndAim(t *testing.T) {
-	Convey("Each request adds its work and its aim", t, func() {
+// Guards against counts without service times or target latencies, by which the leader would
+// never move keys off a server.
+func TestCountsIncludeServiceTimeAndTargetLatency(t *testing.T) {
+	Convey("Each request adds its service time and its target latency", t, func() {
 		r := still()
-		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
-			need: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
-		r.count(o)
-		r.count(o)
-		heat, _ := r.takeHeat(nil, false)
+		req := &request{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
+			requirements: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
+		r.recordArrival(req)
+		r.recordArrival(req)
+		heat, _ := r.takeCounts(nil, false)
 		So(heat, ShouldHaveLength, 1)
 		So(heat[0].Requests, ShouldEqual, 2)
 		So(heat[0].AimMillis, ShouldEqual, 600)
@@ -50,101 +52,104 @@
 	})
 }
 
-// Guards against a lookup that is refused as if its key moved, since its first answer was lost.
-func TestHolderIsAskedAgain(t *testing.T) {
-	Convey("The holder of a key stays the choice after an answer that was lost", t, func() {
+// Guards against the refusal of a lookup whose first answer was lost: if the only holder of its
+// key were excluded, the request would be refused as if the key were moving.
+func TestRetryGoesToTheSameHolder(t *testing.T) {
+	Convey("The holder of a key is chosen again after a lost answer", t, func() {
 		r := still()
 		r.serversAt(second(1), 10, entryOf("a", 5))
 		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Shares: []grant.Share{{Service: "s", Ranges: []grant.Range{
 			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", Born: 1, Address: "a"}}}}}}))
 		now := time.Now()
-		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: time.Second},
-			need: spread.Requirements{Route: "look", Aim: time.Second, ReceivedAt: now, Deadline: now.Add(3 * time.Second), LocalDataCentre: "x"}}
-		v, c := r.owner(r.current.Load(), o, now)
+		req := &request{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: time.Second},
+			requirements: spread.Requirements{Route: "look", Aim: time.Second, ReceivedAt: now, Deadline: now.Add(3 * time.Second), LocalDataCentre: "x"}}
+		server, c := r.chooseHolder(r.current.Load(), req, now)
 		So(c.Refused(), ShouldBeFalse)
-		So(v.ID, ShouldEqual, "a")
-		later := now.Add(600 * time.Millisecond) // it ran, and its answer was lost
-		r.spread.End(later, v, o.need, o.began, spread.Failed, nil)
-		o.failedAt(v, nil)
-		v, c = r.owner(r.current.Load(), o, later)
+		So(server.ID, ShouldEqual, "a")
+		later := now.Add(600 * time.Millisecond) // the request ran, but its answer was lost
+		r.spread.End(later, server, req.requirements, req.attemptStart, spread.Failed, nil)
+		req.excludeFailed(server, nil)
+		server, c = r.chooseHolder(r.current.Load(), req, later)
 		So(c.Refused(), ShouldBeFalse)
-		So(v.ID, ShouldEqual, "a")
+		So(server.ID, ShouldEqual, "a")
 	})
-	Convey("An unkeyed request goes elsewhere, unless the server only declined", t, func() {
-		o, v := &order{key: -1}, fleet.Server{ID: "a"}
-		o.failedAt(v, &link.Answer{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
-		So(o.need.Excluded, ShouldBeEmpty)
-		o.failedAt(v, nil)
-		So(o.need.Excluded, ShouldResemble, []string{"a"})
+	Convey("A request without a key excludes the server, unless that only declined with free slots", t, func() {
+		req, server := &request{key: -1}, fleet.Server{ID: "a"}
+		req.excludeFailed(server, &link.Answer{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
+		So(req.requirements.Excluded, ShouldBeEmpty)
+		req.excludeFailed(server, nil)
+		So(req.requirements.Excluded, ShouldResemble, []string{"a"})
 	})
 }
 
-// Guards against a request that goes on crashing servers, the same one or the next.
-func TestCrashesAreHeeded(t *testing.T) {
-	crashed := func(servers ...string) (*Router, *order) {
-		r, o := still(), lookup(time.Second)
-		o.route.MaxAttempts = 9
+// Guards against a request that crashes one server after another, by its own retries or when
+// its caller submits it again.
+func TestRequestsThatCrashServers(t *testing.T) {
+	afterLosses := func(servers ...string) (*Router, *request) {
+		r, req := still(), lookupRequest(time.Second)
+		req.route.MaxAttempts = 9
 		for _, s := range servers {
-			r.lost(o, s)
+			r.recordLoss(req, s)
 		}
-		return r, o
+		return r, req
 	}
-	Convey("The next request of the same content turns to other servers", t, func() {
-		r, _ := crashed("a", "b")
-		next := lookup(time.Second)
-		So(r.crashes(next), ShouldBeFalse)
-		So(next.need.LastResort, ShouldResemble, []string{"a", "b"})
+	Convey("The next request with the same content avoids those servers", t, func() {
+		r, _ := afterLosses("a", "b")
+		next := lookupRequest(time.Second)
+		So(r.checkCrashSuspect(next), ShouldBeFalse)
+		So(next.requirements.LastResort, ShouldResemble, []string{"a", "b"})
 	})
-	Convey("After the last loss that is allowed it is not sent again", t, func() {
-		r, o := crashed("a", "b")
-		So(r.tried(o, false).Retryable(), ShouldBeTrue)
-		r, o = crashed("a", "b", "c")
-		So(r.tried(o, false).Retryable(), ShouldBeFalse)
+	Convey("At the threshold the request is not sent again", t, func() {
+		r, req := afterLosses("a", "b")
+		So(r.retryState(req, false).Retryable(), ShouldBeTrue)
+		r, req = afterLosses("a", "b", "c")
+		So(r.retryState(req, false).Retryable(), ShouldBeFalse)
 	})
 }
 
-// Guards against a new leader that takes slowed holders for usual ones until they answer again.
-func TestNewLeaderLearnsThePaces(t *testing.T) {
-	Convey("Each server is reported once, and what is new after that", t, func() {
+// Guards against a new leader that assumes the usual speed for slowed holders until they
+// answer again.
+func TestNewLeaderReceivesAllSlowdowns(t *testing.T) {
+	Convey("A leader gets each slowdown once, a new leader gets all of them", t, func() {
 		r := still()
-		leads := func(epoch uint64) {
+		setEpoch := func(epoch uint64) {
 			r.current.Store(r.current.Load().withConfig(config.Config{Services: []config.Service{{Name: "s", Keyed: true}}}).withTable(grant.Table{Epoch: epoch}))
 		}
-		leads(1)
+		setEpoch(1)
 		r.serversAt(second(1), 10, entryOf("a", 5))
-		v, _ := r.current.Load().fleet.Find("a")
-		n := spread.Requirements{Route: "look", Aim: time.Second, LocalDataCentre: "x"}
-		r.spread.Begin(t0, v, n)
-		r.spread.End(t0, v, n, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
+		server, _ := r.current.Load().fleet.Find("a")
+		requirements := spread.Requirements{Route: "look", Aim: time.Second, LocalDataCentre: "x"}
+		r.spread.Begin(t0, server, requirements)
+		r.spread.End(t0, server, requirements, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
-		slow := func(at float64) bool {
-			r.control.heats = newHeats()
-			r.control.sendHeat(second(at), true)
-			return r.control.heats.paces.Factors()["a"] > 1
+		learnsSlowdown := func(at float64) bool {
+			r.control.heats = newSiteCounts()
+			r.control.sendCounts(second(at), true)
+			return r.control.heats.slowdowns.Factors()["a"] > 1
 		}
-		So(slow(10), ShouldBeTrue)
-		So(slow(20), ShouldBeFalse)
-		leads(2)
-		So(slow(30), ShouldBeTrue)
+		So(learnsSlowdown(10), ShouldBeTrue)
+		So(learnsSlowdown(20), ShouldBeFalse)
+		setEpoch(2)
+		So(learnsSlowdown(30), ShouldBeTrue)
 	})
 }
 
-// Guards against reports that are dropped since they tell of answers only.
-func TestAnswersAloneAreReported(t *testing.T) {
-	Convey("Paces without requests are passed on", t, func() {
-		So(tellsCounts(&wire.Gossip{Paces: []*wire.Pace{{Server: "a"}}}), ShouldBeTrue)
-		So(tellsCounts(&wire.Gossip{Heat: []*wire.Heat{{Service: "s"}}}), ShouldBeTrue)
-		So(tellsCounts(&wire.Gossip{}), ShouldBeFalse)
+// Guards against reports that are dropped because they only contain server statistics.
+func TestServerStatsAreSentWithoutKeyCounts(t *testing.T) {
+	Convey("Server statistics without request counts are sent", t, func() {
+		So(hasCounts(&wire.Gossip{Paces: []*wire.Pace{{Server: "a"}}}), ShouldBeTrue)
+		So(hasCounts(&wire.Gossip{Heat: []*wire.Heat{{Service: "s"}}}), ShouldBeTrue)
+		So(hasCounts(&wire.Gossip{}), ShouldBeFalse)
 	})
 }
 
-// Guards against paces of servers that left, which would be kept for good.
-func TestPacesOfGoneServersAreForgotten(t *testing.T) {
-	Convey("Only listed servers are kept", t, func() {
-		h := newHeats()
+// Guards against slowdowns of removed servers, which would be kept forever.
+func TestSlowdownsOfRemovedServersAreDropped(t *testing.T) {
+	Convey("Only servers of the fleet are kept", t, func() {
+		h := newSiteCounts()
 		h.add(&wire.Gossip{Paces: []*wire.Pace{{Server: "a", Factor: 4, Answers: 9}, {Server: "b", Factor: 4, Answers: 9}}})
-		h.roll(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", Born: 1}}))
-		So(h.paces.Factors(), ShouldContainKey, "a")
-		So(h.paces.Factors(), ShouldNotContainKey, "b")
+		h.closeWindow(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", Born: 1}}))
+		So(h.slowdowns.Factors(), ShouldContainKey, "a")
+		So(h.slowdowns.Factors(), ShouldNotContainKey, "b")
 	})
 }
--- /dev/null
+++ b/io/process/router/sitecounts.go
@@ -0,0 +1,77 @@
+package router
+
+import (
+	"time"
+
+	"catkinstep/core/connection/wire"
+	"catkinstep/core/process/keeper"
+	"catkinstep/core/process/pace"
+	"catkinstep/core/process/rate"
+	"catkinstep/core/version/config"
+	"catkinstep/core/version/fleet"
+)
+
+// siteCounts are the leader's sums of all daemons' request counts and server statistics.
+type siteCounts struct {
+	meter     *rate.Meter
+	slowdowns *pace.Estimator
+	// queueReports are the reports on the servers' queues since the last window.
+	queueReports []keeper.Report
+}
+
+// serverStats are the measurements of a server since the last report.
+type serverStats struct {
+	pace.Sample
+	// loadReports and fullReports are the numbers of answers that reported the load, and
+	// that reported a long queue.
+	loadReports, fullReports int
+}
+
+// serverStatsFrom converts another daemon's message.
+func serverStatsFrom(p *wire.Pace) serverStats {
+	return serverStats{Sample: pace.Sample{Factor: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
+}
+
+// with returns the sum of both.
+func (s serverStats) with(other serverStats) serverStats {
+	return serverStats{Sample: s.With(other.Sample), loadReports: s.loadReports + other.loadReports, fullReports: s.fullReports + other.fullReports}
+}
+
+// toWire returns the message for other daemons.
+func (s serverStats) toWire(server string) *wire.Pace {
+	return &wire.Pace{Server: server, Factor: float32(s.Factor), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.fullReports)}
+}
+
+func newSiteCounts() *siteCounts {
+	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: pace.New()}
+}
+
+// add adds the counts of one daemon.
+func (c *siteCounts) add(message *wire.Gossip) {
+	for _, x := range message.Heat {
+		c.meter.Add(x.Service, int(x.Bucket), int(x.Requests), millis(x.WorkMillis), millis(x.AimMillis))
+	}
+	for _, p := range message.Paces {
+		stats := serverStatsFrom(p)
+		c.slowdowns.Add(p.Server, stats.Sample)
+		if stats.loadReports > 0 {
+			c.queueReports = append(c.queueReports, keeper.Report{Server: p.Server, Answers: stats.loadReports, Full: stats.fullReports})
+		}
+	}
+}
+
+func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// closeWindow closes the current window and returns the load of each service.
+func (c *siteCounts) closeWindow(now time.Time, cfg config.Config, servers *fleet.Fleet) []keeper.LoadMsg {
+	c.slowdowns.Retain(func(server string) bool { _, ok := servers.Find(server); return ok })
+	factors := c.slowdowns.Factors()
+	var out []keeper.LoadMsg
+	for _, l := range c.meter.CloseWindow(now) {
+		service, _ := cfg.Service(l.Service)
+		out = append(out, keeper.LoadMsg{Service: l.Service, Work: l.BusySlots, Each: l.ServiceTime.Seconds(), Aim: l.TargetLatency,
+			Factors: factors, ColdRate: service.ColdRate, Reports: c.queueReports})
+		c.queueReports = nil // sent once: the reports cover the holders of all services
+	}
+	return out
+}
--- a/io/process/router/snap.go
+++ b/io/process/router/snap.go
@@ -9,56 +9,59 @@
 	"catkinstep/core/version/grant"
 )
 
-// snap is what requests are decided by. It is immutable.
-type snap struct {
-	// configured tells whether config holds one.
+// snapshot is the state by which requests are routed. It is immutable.
+type snapshot struct {
+	// configured means that config has been read.
 	configured bool
 	config     config.Config
-	// serving are the servers that may get requests, by service.
-	serving map[string][]fleet.Server
-	fleet   *fleet.Fleet
-	out     map[string]bool
-	table   grant.Table
+	// serving are the servers that may get new requests, by service.
+	serving        map[string][]fleet.Server
+	fleet          *fleet.Fleet
+	outDataCentres map[string]bool
+	table          grant.Table
 }
 
-// mayServe tells whether a server may get new requests.
-func (s *snap) mayServe(v fleet.Server) bool { return !v.Draining && !s.out[v.DataCentre] }
+// mayServe reports whether a server may get new requests.
+func (s *snapshot) mayServe(server fleet.Server) bool {
+	return !server.Draining && !s.outDataCentres[server.DataCentre]
+}
 
-// withFleet returns a snap with other servers or data centres that are out.
-func (s *snap) withFleet(f *fleet.Fleet, out map[string]bool) *snap {
-	n := *s
-	n.fleet, n.out = f, out
-	n.serving = map[string][]fleet.Server{}
-	for _, v := range f.All() {
-		if n.mayServe(v) {
-			n.serving[v.Service] = append(n.serving[v.Service], v)
+// withFleet returns a snapshot with other servers and other data centres that are out of
+// service.
+func (s *snapshot) withFleet(f *fleet.Fleet, outDataCentres map[string]bool) *snapshot {
+	next := *s
+	next.fleet, next.outDataCentres = f, outDataCentres
+	next.serving = map[string][]fleet.Server{}
+	for _, server := range f.All() {
+		if next.mayServe(server) {
+			next.serving[server.Service] = append(next.serving[server.Service], server)
 		}
 	}
-	return &n
+	return &next
 }
 
-// withConfig returns a snap with another configuration.
-func (s *snap) withConfig(c config.Config) *snap {
-	n := *s
-	n.config, n.configured = c, true
-	return &n
+// withConfig returns a snapshot with another configuration.
+func (s *snapshot) withConfig(c config.Config) *snapshot {
+	next := *s
+	next.config, next.configured = c, true
+	return &next
 }
 
-// withTable returns a snap with another table.
-func (s *snap) withTable(t grant.Table) *snap {
-	n := *s
-	n.table = t
-	return &n
+// withTable returns a snapshot with another table.
+func (s *snapshot) withTable(t grant.Table) *snapshot {
+	next := *s
+	next.table = t
+	return &next
 }
 
-// keyed lists the services whose keys have holders.
-func (s *snap) keyed() []string {
-	var out []string
-	for _, v := range s.config.Services {
-		if v.Keyed {
-			out = append(out, v.Name)
+// keyedServices returns the names of the services whose keys have holders, sorted.
+func (s *snapshot) keyedServices() []string {
+	var services []string
+	for _, service := range s.config.Services {
+		if service.Keyed {
+			services = append(services, service.Name)
 		}
 	}
-	slices.SortFunc(out, cmp.Compare[string])
-	return out
+	slices.SortFunc(services, cmp.Compare[string])
+	return services
 }
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -131,7 +131,7 @@
 // this daemon knows.
 func (r *Router) Settled() bool {
 	s := r.current.Load()
-	for _, service := range s.keyed() {
+	for _, service := range s.keyedServices() {
 		shares := 0
 		for _, share := range s.table.Shares {
 			if share.Service != service {
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -9,64 +9,66 @@
 )
 
 const (
-	// crashBound is how many servers a request may be lost with before it is
-	// refused: one may be chance, three in a row without an answer hardly are.
-	crashBound = 3
-	// crashKeep is how long that is remembered; a server is back after seconds.
-	crashKeep = time.Minute
+	// crashThreshold is the number of lost servers after which a request is refused. One loss
+	// may be a coincidence, three in a row without an answer hardly are.
+	crashThreshold = 3
+	// crashRetention is how long losses are remembered. A crashed server is back within
+	// seconds.
+	crashRetention = time.Minute
 )
 
-// fingerprint is the same for each try of the same content, whatever its id.
-func fingerprint(o *order) uint64 {
-	d := xxhash.New()
-	for _, s := range []string{o.Method, o.Host, o.RequestURI} {
-		_, _ = d.WriteString(s) // a hash takes everything
-		_, _ = d.Write([]byte{0})
+// fingerprintOf hashes a request's content. It does not depend on the id, which a caller may
+// change with each attempt.
+func fingerprintOf(req *request) uint64 {
+	digest := xxhash.New()
+	for _, s := range []string{req.Method, req.Host, req.RequestURI} {
+		_, _ = digest.WriteString(s) // never fails
+		_, _ = digest.Write([]byte{0})
 	}
-	_, _ = d.Write(o.Body)
-	return d.Sum64()
+	_, _ = digest.Write(req.Body)
+	return digest.Sum64()
 }
 
-// lost notes that a server broke off while a request ran there.
-func (r *Router) lost(o *order, server string) {
+// recordLoss records that a server was lost while the request may have run there.
+func (r *Router) recordLoss(req *request, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if !r.suspects.RecordLoss(now, o.print, server) {
+	if !r.suspects.RecordLoss(now, req.fingerprint, server) {
 		return
 	}
-	r.suspicions.add(now, &wire.Suspect{Fingerprint: o.print, Servers: []string{server}})
-	if r.suspects.ShouldRefuse(now, o.print) {
-		go r.post(urgentMsg{}) // not to wait under the lock
+	r.suspicions.add(now, &wire.Suspect{Fingerprint: req.fingerprint, Servers: []string{server}})
+	if r.suspects.ShouldRefuse(now, req.fingerprint) {
+		go r.post(urgentMsg{}) // asynchronous, as the lock is held
 	}
 }
 
-// answered ends a suspicion: a request that crashes servers is never answered.
-func (r *Router) answered(o *order) {
+// clearSuspicion clears a request that was answered: one that crashes servers never is.
+func (r *Router) clearSuspicion(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.suspects.RecordAnswer(o.print)
+	r.suspects.RecordAnswer(req.fingerprint)
 }
 
-// crashes tells whether a request is refused for the servers lost with it. One that is
-// not yet turns to other servers than those.
-func (r *Router) crashes(o *order) bool {
+// checkCrashSuspect reports whether a request is refused because servers were lost while it
+// ran. Below the threshold, those servers become its last resort.
+func (r *Router) checkCrashSuspect(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.need.LastResort = r.suspects.LostServers(o.print)
-	return r.suspects.ShouldRefuse(time.Now(), o.print)
+	req.requirements.LastResort = r.suspects.LostServers(req.fingerprint)
+	return r.suspects.ShouldRefuse(time.Now(), req.fingerprint)
 }
 
-// suspectNews lists the losses of the last moments.
-func (r *Router) suspectNews() []*wire.Suspect {
+// recentSuspects returns the recent losses, for gossip.
+func (r *Router) recentSuspects() []*wire.Suspect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspicions.list(time.Now())
 }
 
-// heardOfLosses takes in what another daemon found, and passes on what is new. It
-// tells whether a request is refused by it from now on.
-func (r *Router) heardOfLosses(suspects []*wire.Suspect) (refused bool) {
+// mergeLosses records losses that other daemons found and forwards the new ones with this
+// daemon's gossip. It reports whether a request is refused from now on.
+func (r *Router) mergeLosses(suspects []*wire.Suspect) (refused bool) {
 	if len(suspects) == 0 {
 		return false
 	}
