--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -23,11 +23,11 @@
 }
 
 // lookupRequest returns an idempotent request for a key, with a target latency.
-func lookupRequest(aim time.Duration) *request {
+func lookupRequest(targetLatency time.Duration) *request {
 	now := time.Now()
 	return &request{Request: caller.Request{Read: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
-		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: aim}, deadline: now.Add(2 * aim),
-		requirements: spread.Requirements{Route: "look", Aim: aim, ReceivedAt: now, Deadline: now.Add(2 * aim), LocalDataCentre: "x"}}
+		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: targetLatency}, deadline: now.Add(2 * targetLatency),
+		requirements: spread.Requirements{Route: "look", Aim: targetLatency, ReceivedAt: now, Deadline: now.Add(2 * targetLatency), LocalDataCentre: "x"}}
 }
 
 // routerAfterMoves returns a router that has seen several moves of a range, each of which
@@ -50,37 +50,37 @@
 	Convey("During a planned move, callers retry after the usual duration of a move", t, func() {
 		r := routerAfterMoves(900 * time.Millisecond)
 		r.control.applyTable(second(100), tableWithRange(90, true))
-		_, c := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
-		So(c.Reason, ShouldEqual, reasonKeyMoving)
-		So(c.RetryAfter, ShouldEqual, 900*time.Millisecond)
+		_, choice := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
+		So(choice.Reason, ShouldEqual, reasonKeyMoving)
+		So(choice.RetryAfter, ShouldEqual, 900*time.Millisecond)
 	})
 	Convey("After the loss of a holder, callers retry when its grant has expired", t, func() {
 		r := still()
 		r.now = func() time.Time { return second(100) }
 		r.control.applyTable(second(100), tableWithRange(90, true))
-		_, c := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
-		So(c.RetryAfter, ShouldBeGreaterThan, 2*time.Second)
+		_, choice := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
+		So(choice.RetryAfter, ShouldBeGreaterThan, 2*time.Second)
 	})
 }
 
 // Guards against the refusal of a request whose range opens in time, and against waiting for one
 // that does not.
 func TestAwaitRangeOpen(t *testing.T) {
-	start := func(aim time.Duration) (*Router, *request, spread.Choice) {
+	start := func(targetLatency time.Duration) (*Router, *request, spread.Choice) {
 		r := routerAfterMoves(100 * time.Millisecond)
 		r.control.applyTable(second(100), tableWithRange(90, true))
-		req := lookupRequest(aim)
-		_, c := r.chooseHolder(r.current.Load(), req, time.Now())
-		return r, req, c
+		req := lookupRequest(targetLatency)
+		_, choice := r.chooseHolder(r.current.Load(), req, time.Now())
+		return r, req, choice
 	}
 	Convey("A request with enough time waits, and proceeds once the range is open", t, func() {
-		r, req, c := start(time.Minute)
-		So(c.Reason, ShouldEqual, reasonKeyMoving)
+		r, req, choice := start(time.Minute)
+		So(choice.Reason, ShouldEqual, reasonKeyMoving)
 		changed := *r.opened.Load()
 		r.control.applyTable(second(100.1), tableWithRange(91, false))
 		So(r.awaitRangeOpen(context.Background(), req, changed), ShouldBeTrue)
-		_, c = r.chooseHolder(r.current.Load(), req, time.Now())
-		So(c.Refused(), ShouldBeFalse)
+		_, choice = r.chooseHolder(r.current.Load(), req, time.Now())
+		So(choice.Refused(), ShouldBeFalse)
 	})
 	Convey("A request that could not be answered within its target latency does not wait", t, func() {
 		r, req, _ := start(120 * time.Millisecond)
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -35,12 +35,12 @@
 func startRequests(r *Router, count int) (sent []*request, refused []spread.Choice) {
 	for range count {
 		req := lookupRequest(time.Second)
-		server, c := r.chooseHolder(r.current.Load(), req, time.Now())
-		if !c.Refused() {
-			c = r.ensurePermit(context.Background(), req, server, c)
+		server, choice := r.chooseHolder(r.current.Load(), req, time.Now())
+		if !choice.Refused() {
+			choice = r.ensurePermit(context.Background(), req, server, choice)
 		}
-		if c.Refused() {
-			refused = append(refused, c)
+		if choice.Refused() {
+			refused = append(refused, choice)
 			continue
 		}
 		sent = append(sent, req)
@@ -64,7 +64,7 @@
 // Guards against holders whose queues grow too long because daemons do not see each other's
 // requests.
 func TestContendedHolder(t *testing.T) {
-	Convey("Requests that could not be answered in time are refused at once", t, func() {
+	Convey("Requests that could not be answered in time are refused at once, with a retry delay", t, func() {
 		r := contendedRouter()
 		sent, refused := startRequests(r, 2)
 		So(refused, ShouldBeEmpty)
@@ -98,11 +98,11 @@
 	Convey("An attempt whose issuer did not answer holds a permit to release, since it may have been granted", t, func() {
 		r := contendedRouter()
 		req := lookupRequest(time.Second)
-		server, c := r.chooseHolder(r.current.Load(), req, time.Now())
+		server, choice := r.chooseHolder(r.current.Load(), req, time.Now())
 		r.mesh = idleMesh(t)
 		r.permits.issuers.Store(&map[string][]string{"x": {"127.0.0.1:1"}})
-		c = r.ensurePermit(context.Background(), req, server, c)
-		So(c.Refused(), ShouldBeFalse)
+		choice = r.ensurePermit(context.Background(), req, server, choice)
+		So(choice.Refused(), ShouldBeFalse)
 		So(req.permit.issuer, ShouldEqual, "127.0.0.1:1")
 		So(r.issuerFor(server, "a 1"), ShouldBeEmpty)
 	})
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -88,8 +88,8 @@
 	last *caller.Refusal
 }
 
-func (l refusalRecorder) Refused(f caller.Refusal) (http.Header, []byte) {
-	*l.last = f
+func (r refusalRecorder) Refused(refusal caller.Refusal) (http.Header, []byte) {
+	*r.last = refusal
 	return http.Header{}, nil
 }
 
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -18,8 +18,8 @@
 	"catkinstep/io/connection/link"
 )
 
-// Guards against a healthy idle server that gets no requests because it closed a kept
-// connection: only a failure to connect counts as unreachable.
+// Guards against a healthy idle server that gets no requests because a kept connection broke:
+// only a failure to connect counts as unreachable.
 func TestOutcomesOfLinkErrors(t *testing.T) {
 	outcomeOf := func(k link.Kind) spread.Outcome {
 		return attemptOutcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
@@ -63,14 +63,14 @@
 		now := time.Now()
 		req := &request{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: time.Second},
 			requirements: spread.Requirements{Route: "look", Aim: time.Second, ReceivedAt: now, Deadline: now.Add(3 * time.Second), LocalDataCentre: "x"}}
-		server, c := r.chooseHolder(r.current.Load(), req, now)
-		So(c.Refused(), ShouldBeFalse)
+		server, choice := r.chooseHolder(r.current.Load(), req, now)
+		So(choice.Refused(), ShouldBeFalse)
 		So(server.ID, ShouldEqual, "a")
 		later := now.Add(600 * time.Millisecond) // the request ran, but its answer was lost
 		r.spread.End(later, server, req.requirements, req.attemptStart, spread.Failed, nil)
 		req.excludeFailed(server, nil)
-		server, c = r.chooseHolder(r.current.Load(), req, later)
-		So(c.Refused(), ShouldBeFalse)
+		server, choice = r.chooseHolder(r.current.Load(), req, later)
+		So(choice.Refused(), ShouldBeFalse)
 		So(server.ID, ShouldEqual, "a")
 	})
 	Convey("A request without a key excludes the server, unless that only declined with free slots", t, func() {
@@ -146,10 +146,10 @@
 // Guards against slowdowns of removed servers, which would be kept forever.
 func TestSlowdownsOfRemovedServersAreDropped(t *testing.T) {
 	Convey("Only servers of the fleet are kept", t, func() {
-		h := newSiteCounts()
-		h.add(&wire.Gossip{Paces: []*wire.Pace{{Server: "a", Factor: 4, Answers: 9}, {Server: "b", Factor: 4, Answers: 9}}})
-		h.closeWindow(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", Born: 1}}))
-		So(h.slowdowns.Factors(), ShouldContainKey, "a")
-		So(h.slowdowns.Factors(), ShouldNotContainKey, "b")
+		counts := newSiteCounts()
+		counts.add(&wire.Gossip{Paces: []*wire.Pace{{Server: "a", Factor: 4, Answers: 9}, {Server: "b", Factor: 4, Answers: 9}}})
+		counts.closeWindow(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", Born: 1}}))
+		So(counts.slowdowns.Factors(), ShouldContainKey, "a")
+		So(counts.slowdowns.Factors(), ShouldNotContainKey, "b")
 	})
 }
