--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -56,8 +56,8 @@
 	r := bunrouter.New()
 	r.GET("/status", a.status)
 	r.GET("/burn", a.burn)
-	r.GET("/debug/vars", d.AnswerMetrics)
-	r.GET("/ready", d.AnswerReady)
+	r.GET("/debug/vars", d.ServeMetrics)
+	r.GET("/ready", d.ServeReady)
 	r.POST("/apply", a.apply)
 	r.POST("/preset", a.preset)
 	r.POST("/out", a.mark(site.Site.WithExclusion))
@@ -130,12 +130,12 @@
 		return fail(w, err)
 	}
 	s := Status{Accepted: version, Preset: v.ActivePreset().Name, Change: v.Change, Outs: v.Exclusions, Everywhere: true}
-	fleet := a.daemon.Fleet(r.Context())
+	fleet := a.daemon.ClusterStatus(r.Context())
 	for _, d := range fleet.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, Site: d.Config}
 		switch {
 		case row.Site >= s.Accepted:
-		case !d.Reaches:
+		case !d.StoreReachable:
 			row.Behind = "it does not reach the platform"
 		default:
 			row.Behind = "the change is on its way"
@@ -155,7 +155,7 @@
 	if err != nil {
 		return fail(w, err)
 	}
-	fleet := a.daemon.Fleet(r.Context())
+	fleet := a.daemon.ClusterStatus(r.Context())
 	out := Burn{Missing: fleet.Missing}
 	var counts []burn.Counts
 	for _, d := range fleet.Daemons {
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -127,7 +127,7 @@
 }
 
 func (y *yard) settles(d *native.Daemon) bool {
-	return within(8*time.Second, func() bool { return d.Ready() && d.Settled() })
+	return within(8*time.Second, func() bool { return d.Ready() && d.AllRangesOpen() })
 }
 
 func within(d time.Duration, state func() bool) bool {
@@ -215,7 +215,7 @@
 		So(y.servers[lost], ShouldNotBeNil)
 		y.servers[lost].Stop()
 		So(within(9*time.Second, func() bool { return y.ask(d, http.MethodGet, "/workshop/benches/7", "").status == http.StatusOK }), ShouldBeTrue)
-		So(within(5*time.Second, d.Settled), ShouldBeTrue)
+		So(within(5*time.Second, d.AllRangesOpen), ShouldBeTrue)
 		for range 40 {
 			So(y.ask(d, http.MethodGet, "/workshop/benches/7", "").status, ShouldEqual, http.StatusOK)
 			time.Sleep(50 * time.Millisecond)
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -110,7 +110,7 @@
 }
 
 // Patience is how long the caller waits, if it says.
-func (Protocol) Patience(h http.Header) (time.Duration, bool) {
+func (Protocol) CallerTimeout(h http.Header) (time.Duration, bool) {
 	d, err := time.ParseDuration(h.Get(HeaderTimeout))
 	return d, err == nil && d > 0
 }
@@ -138,14 +138,14 @@
 }
 
 // Answered adds what callers get beside a server's own answer.
-func (Protocol) Answered(h http.Header, id, server string) {
+func (Protocol) AddResponseHeaders(h http.Header, id, server string) {
 	h.Set(names.Default().ID, id)
 	h.Set(HeaderOutcome, OutcomeAnswered)
 	h.Set(HeaderServer, server)
 }
 
 // Refused forms an answer that is not a server's.
-func (Protocol) Refused(f caller.Refusal) (http.Header, []byte) {
+func (Protocol) RefusalResponse(f caller.Refusal) (http.Header, []byte) {
 	out := Failure{Code: f.Reason, Ran: OutcomeNotRun, RequestID: f.ID}
 	if f.MaybeRan {
 		out.Ran = OutcomeUnknown
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -20,7 +20,7 @@
 		if ctx.Err() != nil {
 			return *r.plain(o.id, http.StatusBadGateway, reasonLeft)
 		}
-		changed := *r.opened.Load()
+		changed := *r.tableUpdated.Load()
 		v, c := r.choose(o)
 		if c.Reason == moving && r.awaitOpen(ctx, o, changed) {
 			continue
@@ -118,10 +118,10 @@
 	if !o.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	left := time.Until(o.deadline) - wayBack
-	ctx, cancel := context.WithDeadline(ctx, o.deadline.Add(answerMargin))
+	left := time.Until(o.deadline) - responseTransitTime
+	ctx, cancel := context.WithDeadline(ctx, o.deadline.Add(responseMargin))
 	defer cancel()
-	a, err := r.links.of(v).Do(ctx, link.Request{
+	a, err := r.clientPool.requestClient(v).Do(ctx, link.Request{
 		Method: o.Method, Target: o.target, Host: o.Host, Header: r.forwarded(o), Body: o.Body, ID: o.id, Left: left,
 	})
 	now := time.Now()
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -27,12 +27,12 @@
 		r.control.update(t0, deltaMsg{delta: news.Delta{Kind: kind, Items: items, Through: 9, CurrentAt: t0}})
 	}
 	Convey("They are decided by what was read", t, func() {
-		r := still()
+		r := newTestRouter()
 		status := ask(context.Background(), r)
 		v, err := json.Marshal(config.Config{Version: 4})
 		So(err, ShouldBeNil)
 		list(r, news.Config, news.Item{Name: "main", Revision: 9, Value: v})
-		list(r, news.Servers, entryOf("a", 5))
+		list(r, news.Servers, serverItem("a", 5))
 		select {
 		case got := <-status:
 			So(got, ShouldEqual, "nothing before the last list")
@@ -43,13 +43,13 @@
 		So(<-ask(context.Background(), r), ShouldEqual, http.StatusNotFound)
 	})
 	Convey("They are refused soon if nothing can be read", t, func() {
-		r := still()
+		r := newTestRouter()
 		status := ask(context.Background(), r)
-		r.control.update(second(2), tickMsg{})
+		r.control.update(atSecond(2), tickMsg{})
 		So(<-status, ShouldEqual, http.StatusServiceUnavailable)
 	})
 	Convey("They end with their callers", t, func() {
-		r := still()
+		r := newTestRouter()
 		ctx, leave := context.WithCancel(context.Background())
 		status := ask(ctx, r)
 		leave()
--- /dev/null
+++ b/io/process/router/clients.go
@@ -0,0 +1,87 @@
+package router
+
+import (
+	"sync"
+
+	"catkinstep/core/connection/names"
+	"catkinstep/core/version/fleet"
+	"catkinstep/io/connection/link"
+)
+
+// maxIdleConns is how many idle connections to a server are kept for requests: about as
+// many as the requests that one daemon usually has in flight there.
+const maxIdleConns = 4
+
+// clientKey identifies a client by the server instance and the purpose of its calls.
+type clientKey struct {
+	address, id string
+	startMillis int64
+	purpose     purpose
+}
+
+// purpose is the kind of calls that a client is used for.
+type purpose int
+
+const (
+	forRequests purpose = iota
+	forGrants
+	forReleases // apart from grants: a release waits for running requests, and would delay renewals
+)
+
+// serverClient is a client of a server. grantMu serialises the grants to a server, so that
+// they use a single connection.
+type serverClient struct {
+	*link.Link
+	grantMu sync.Mutex
+}
+
+// clientPool holds the clients of all server instances, by purpose.
+type clientPool struct {
+	names   names.Names
+	mu      sync.Mutex
+	clients map[clientKey]*serverClient
+}
+
+// get returns the client for a key and creates it if needed.
+func (p *clientPool) get(key clientKey) *serverClient {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.clients == nil {
+		p.clients = map[clientKey]*serverClient{}
+	}
+	client := p.clients[key]
+	if client == nil {
+		maxIdle := maxIdleConns
+		if key.purpose != forRequests {
+			maxIdle = maxIdleGrantConns
+		}
+		client = &serverClient{Link: link.New(key.address, key.id, p.names, maxIdle)}
+		p.clients[key] = client
+	}
+	return client
+}
+
+// requestClient returns the client for callers' requests to a server.
+func (p *clientPool) requestClient(s fleet.Server) *serverClient {
+	return p.get(clientKey{address: s.Address, id: s.ID, startMillis: s.StartMillis})
+}
+
+// closeUnlisted closes the clients of server instances that are no longer listed.
+func (p *clientPool) closeUnlisted(f *fleet.Fleet) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for key, client := range p.clients {
+		if s, ok := f.Find(key.id); !ok || s.StartMillis != key.startMillis || s.Address != key.address {
+			client.Close()
+			delete(p.clients, key)
+		}
+	}
+}
+
+func (p *clientPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, client := range p.clients {
+		client.Close()
+	}
+}
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -25,7 +25,7 @@
 		return ok && v.StartMillis == h.StartMillis
 	})
 	r.mu.Unlock()
-	close(*r.opened.Swap(new(make(chan struct{}))))
+	close(*r.tableUpdated.Swap(new(make(chan struct{}))))
 }
 
 // closedChoice is the refusal of a request whose range is closed: with the time in which
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -32,11 +32,11 @@
 
 // moved makes a router that saw ranges of a service closed for so long.
 func moved(took time.Duration) *Router {
-	r := still()
-	r.now = func() time.Time { return second(100) }
-	r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6))
+	r := newTestRouter()
+	r.now = func() time.Time { return atSecond(100) }
+	r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
 	for i := range 9 {
-		begin := second(float64(2 + 10*i))
+		begin := atSecond(float64(2 + 10*i))
 		r.control.applyTable(begin, onTheWay(uint64(2*i+1), true))
 		r.control.applyTable(begin.Add(took), onTheWay(uint64(2*i+2), false))
 	}
@@ -47,15 +47,15 @@
 func TestTimeToComeBackIsThatOfMoves(t *testing.T) {
 	Convey("Callers of a planned move come back when such moves have ended", t, func() {
 		r := moved(900 * time.Millisecond)
-		r.control.applyTable(second(100), onTheWay(90, true))
+		r.control.applyTable(atSecond(100), onTheWay(90, true))
 		_, c := r.owner(r.current.Load(), lookup(time.Second), time.Now())
 		So(c.Reason, ShouldEqual, moving)
 		So(c.RetryAfter, ShouldEqual, 900*time.Millisecond)
 	})
 	Convey("Those of a lost holder come back when its grant has run out", t, func() {
-		r := still()
-		r.now = func() time.Time { return second(100) }
-		r.control.applyTable(second(100), onTheWay(90, true))
+		r := newTestRouter()
+		r.now = func() time.Time { return atSecond(100) }
+		r.control.applyTable(atSecond(100), onTheWay(90, true))
 		_, c := r.owner(r.current.Load(), lookup(time.Second), time.Now())
 		So(c.RetryAfter, ShouldBeGreaterThan, 2*time.Second)
 	})
@@ -65,7 +65,7 @@
 func TestRequestsWaitForARangeThatOpensInTime(t *testing.T) {
 	start := func(aim time.Duration) (*Router, *order, spread.Choice) {
 		r := moved(100 * time.Millisecond)
-		r.control.applyTable(second(100), onTheWay(90, true))
+		r.control.applyTable(atSecond(100), onTheWay(90, true))
 		o := lookup(aim)
 		_, c := r.owner(r.current.Load(), o, time.Now())
 		return r, o, c
@@ -73,20 +73,20 @@
 	Convey("A request with time waits, and goes on once the range is open", t, func() {
 		r, o, c := start(time.Minute)
 		So(c.Reason, ShouldEqual, moving)
-		changed := *r.opened.Load()
-		r.control.applyTable(second(100.1), onTheWay(91, false))
+		changed := *r.tableUpdated.Load()
+		r.control.applyTable(atSecond(100.1), onTheWay(91, false))
 		So(r.awaitOpen(context.Background(), o, changed), ShouldBeTrue)
 		_, c = r.owner(r.current.Load(), o, time.Now())
 		So(c.Refused(), ShouldBeFalse)
 	})
 	Convey("One that cannot be answered within its aim after that is refused at once", t, func() {
 		r, o, _ := start(120 * time.Millisecond)
-		So(r.awaitOpen(context.Background(), o, *r.opened.Load()), ShouldBeFalse)
+		So(r.awaitOpen(context.Background(), o, *r.tableUpdated.Load()), ShouldBeFalse)
 	})
 	Convey("A caller that leaves is not waited for", t, func() {
 		r, o, _ := start(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(r.awaitOpen(ctx, o, *r.opened.Load()), ShouldBeFalse)
+		So(r.awaitOpen(ctx, o, *r.tableUpdated.Load()), ShouldBeFalse)
 	})
 }
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -20,90 +20,97 @@
 type (
 	tickMsg    struct{}
 	leavingMsg struct{}
-	// deltaMsg is news of one kind, from the store or another daemon.
+	// deltaMsg carries changes to the objects of one kind, from the store or another
+	// daemon. done, if set, is closed once they are applied.
 	deltaMsg struct {
 		delta     news.Delta
 		fromStore bool
 		done      chan struct{}
 	}
-	// gossipMsg is another daemon's gossip; reply, if any, gets this one's.
+	// gossipMsg carries another daemon's gossip. This daemon's gossip is sent to reply, if set.
 	gossipMsg struct {
 		gossip *wire.Gossip
 		reply  chan *wire.Gossip
 	}
-	// tableMsg is a published table.
+	// tableMsg carries a published table.
 	tableMsg struct{ table grant.Table }
-	// fetchMsg asks for what a daemon lacks.
+	// fetchMsg is another daemon's request for the changes that it does not have.
 	fetchMsg struct {
 		fetch *wire.Fetch
 		reply chan *wire.Delta
 	}
-	fetchedMsg struct{ kind, address string }
-	// storeFailedMsg says that the store did not answer this daemon.
+	// fetchEndedMsg reports that a fetch from another daemon has ended, with or without a reply.
+	fetchEndedMsg struct{ kind, address string }
+	// storeFailedMsg reports that the store did not answer this daemon.
 	storeFailedMsg struct{}
-	// urgentMsg says that there is news for the other daemons which cannot wait.
-	urgentMsg struct{}
-	// statusMsg asks what is in force here, and for the other daemons' addresses.
+	// urgentChangeMsg reports a change that other daemons must learn of at once.
+	urgentChangeMsg struct{}
+	// statusMsg requests the daemon's status.
 	statusMsg struct {
-		reply chan status
+		reply chan daemonStatus
 	}
-	refusedMsg struct{ address string }
-	// missedMsg says that a daemon did not answer.
-	missedMsg struct{ address string }
-	calledMsg struct{ address string }
-	keeperMsg struct{ msg keeper.Msg }
-	leadMsg   struct {
-		table, before grant.Table
-		revision      uint64
+	// connectionRefusedMsg reports that a daemon's address refused a connection.
+	connectionRefusedMsg struct{ address string }
+	// unansweredMsg reports that a daemon did not answer a call.
+	unansweredMsg struct{ address string }
+	// gossipEndedMsg reports that a gossip call has ended, with or without a reply.
+	gossipEndedMsg struct{ address string }
+	keeperMsg      struct{ msg keeper.Msg }
+	// leadTakenMsg reports that this daemon has become the leader.
+	leadTakenMsg struct {
+		table, previous grant.Table
+		revision        uint64
 	}
-	leadFailMsg struct{}
-	settingsMsg struct{ settings setup.Settings }
+	leadNotTakenMsg struct{}
+	settingsMsg     struct{ settings setup.Settings }
 )
 
 // control is the state that the control loop owns.
 type control struct {
-	r      *Router
-	caches map[news.Kind]*news.Cache
-	known  map[news.Kind]*atomic.Uint64
-	// reads tells whether this daemon reads the store, and turn how many of its data
-	// centre come before it; any goroutine may ask.
-	reads atomic.Bool
-	turn  atomic.Int64
-	// spare tells whether it reads beside the leader what cannot wait.
-	spare   atomic.Bool
-	members *member.Cluster
-	keeper  *keeper.Keeper
-	lead    leadership
-	leaving bool
-	seeds   []string
-	entries *entries
-	paces   paces
-	calling map[string]bool
-	fetches fetches
-	counts  countReport
-	// tables are those that were in force before, the newest last.
-	tables []grant.Table
-	// tableForms are the wire forms of the present table, by the sequence of the table that a
-	// change is made to; 0 is the whole one.
-	tableForms map[uint64][]byte
-	stored     storedTable
-	heats      *heats
-	limits     limits
-	started    time.Time
-	boot       boot.Boot
+	r              *Router
+	caches         map[news.Kind]*news.Cache
+	knownRevisions map[news.Kind]*atomic.Uint64
+	// isReader is set while this daemon reads the store on behalf of the others.
+	isReader atomic.Bool
+	// localRank is the number of live daemons of the data centre that rank before this one.
+	localRank atomic.Int64
+	// isStandbyReader is set while this daemon reads the kinds of objects that cannot
+	// wait, in addition to the leader.
+	isStandbyReader atomic.Bool
+	members         *member.Cluster
+	keeper          *keeper.Keeper
+	leadership      leaderState
+	leaving         bool
+	seeds           []string
+	serverList      *serverList
+	lastRuns        lastRuns
+	// gossipPending holds the addresses with a gossip call in flight.
+	gossipPending   map[string]bool
+	pendingFetches  pendingFetches
+	lastCountReport countReport
+	// previousTables are the tables that were in force before, the newest last.
+	previousTables []grant.Table
+	// encodedTables caches the encoded forms of the current table: the whole table at 0,
+	// and changes by the sequence number of the older table that they apply to.
+	encodedTables map[uint64][]byte
+	stored        storedTable
+	loadStats     *heats
+	limits        limits
+	startedAt     time.Time
+	boot          boot.Boot
 }
 
-// storedTable is the stored table. Its head is read at each change, the rest only where it is
-// needed: daemons learn most tables from the leader before they are stored, and a large
-// one takes milliseconds.
+// storedTable is the table in the store. Its header is decoded at each change, the rest
+// only when it is needed: daemons receive most tables from the leader before they are
+// stored, and decoding a large one takes milliseconds.
 type storedTable struct {
-	head     grant.Table // without shares
+	header   grant.Table // without key ranges
 	value    []byte
 	revision uint64
 }
 
-// whole reads all of it.
-func (s storedTable) whole() (grant.Table, error) {
+// decode decodes the whole table. It is empty if none is stored.
+func (s storedTable) decode() (grant.Table, error) {
 	if s.value == nil {
 		return grant.Table{}, nil
 	}
@@ -112,54 +119,55 @@
 
 func newControl(r *Router, now time.Time) *control {
 	c := &control{
-		r: r, caches: map[news.Kind]*news.Cache{}, known: map[news.Kind]*atomic.Uint64{},
-		members: member.New(r.self, now), entries: newEntries(),
-		calling: map[string]bool{}, fetches: fetches{}, tableForms: map[uint64][]byte{}, counts: countReport{at: now}, heats: newHeats(), started: now, boot: boot.New(now), seeds: r.settings.Seeds,
+		r: r, caches: map[news.Kind]*news.Cache{}, knownRevisions: map[news.Kind]*atomic.Uint64{},
+		members: member.New(r.self, now), serverList: newServerList(),
+		gossipPending: map[string]bool{}, pendingFetches: pendingFetches{}, encodedTables: map[uint64][]byte{}, lastCountReport: countReport{at: now}, loadStats: newHeats(), startedAt: now, boot: boot.New(now), seeds: r.settings.Seeds,
 	}
 	for _, k := range news.Kinds {
-		c.caches[k], c.known[k] = news.NewCache(k), &atomic.Uint64{}
+		c.caches[k], c.knownRevisions[k] = news.NewCache(k), &atomic.Uint64{}
 	}
 	return c
 }
 
-// through is the revision up to which a kind is known; any goroutine may ask.
-func (c *control) through(kind news.Kind) uint64 { return c.known[kind].Load() }
+// knownRevision is the revision up to which all changes to a kind of objects are known.
+// It is safe for concurrent use.
+func (c *control) knownRevision(kind news.Kind) uint64 { return c.knownRevisions[kind].Load() }
 
-// update takes in one message.
+// update handles one message.
 func (c *control) update(now time.Time, m any) {
 	switch m := m.(type) {
 	case tickMsg:
 		c.tick(now)
 	case deltaMsg:
-		c.delta(now, m)
+		c.applyDelta(now, m)
 	case gossipMsg:
 		c.applyGossip(now, m)
 	case fetchMsg:
-		m.reply <- c.fetched(now, m.fetch)
-	case fetchedMsg:
-		c.fetches.end(m.kind, m.address)
+		m.reply <- c.answerFetch(now, m.fetch)
+	case fetchEndedMsg:
+		c.pendingFetches.end(m.kind, m.address)
 	case tableMsg:
 		if c.applyTable(now, m.table) {
-			c.spreadNews(now, false)
+			c.propagateChange(now, false)
 		}
-	case calledMsg:
-		delete(c.calling, m.address)
-	case refusedMsg:
+	case gossipEndedMsg:
+		delete(c.gossipPending, m.address)
+	case connectionRefusedMsg:
 		c.members.RecordRefused(m.address)
-	case missedMsg:
+	case unansweredMsg:
 		c.members.RecordUnanswered(now, m.address)
 	case keeperMsg:
-		c.keep(now, m.msg)
-	case leadMsg:
-		c.beginLead(now, m)
+		c.updateKeeper(now, m.msg)
+	case leadTakenMsg:
+		c.startLeading(now, m)
 	case settingsMsg:
 		c.applySettings(m.settings)
-	case leadFailMsg:
-		c.lead.taking = false
+	case leadNotTakenMsg:
+		c.leadership.acquiring = false
 	case storeFailedMsg:
-		c.storeFailed(now)
-	case urgentMsg:
-		c.spreadNews(now, true)
+		c.recordStoreFailure(now)
+	case urgentChangeMsg:
+		c.propagateChange(now, true)
 	case statusMsg:
 		m.reply <- c.status(now)
 	case leavingMsg:
@@ -169,13 +177,13 @@
 }
 
 func (c *control) tick(now time.Time) {
-	c.reads.Store(c.members.ShouldRead(now, c.caches[news.Servers].CurrentAt(), c.keeper != nil))
-	c.turn.Store(int64(c.members.LocalRank(now)))
-	if c.due(now, &c.paces.spare, spareEvery) {
-		c.spare.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
+	c.isReader.Store(c.members.ShouldRead(now, c.caches[news.Servers].CurrentAt(), c.keeper != nil))
+	c.localRank.Store(int64(c.members.LocalRank(now)))
+	if c.due(now, &c.lastRuns.standbyCheck, standbyCheckInterval) {
+		c.isStandbyReader.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
 	}
-	c.expire(now)
-	c.tryLead(now)
+	c.dropExpired(now)
+	c.tryTakeLead(now)
 	if c.keeper != nil {
 		c.runKeeper(now)
 	}
@@ -185,33 +193,34 @@
 	c.r.ready.Store(!c.leaving && c.isReady(now))
 }
 
-// storeFailed tells the other daemons at the first failure of the leader or the spare, so
-// that another one reads in its place at once. In an outage all daemons come to try: their
-// failures are no news.
-func (c *control) storeFailed(now time.Time) {
+// recordStoreFailure records that the store did not answer this daemon. At the first
+// failure of the leader or the standby reader it informs the other daemons, so that
+// another one reads in its place at once. Failures of other daemons are not propagated:
+// in an outage all of them end up trying.
+func (c *control) recordStoreFailure(now time.Time) {
 	first := c.members.LastStoreFailure().IsZero()
 	c.members.RecordStoreFailure(now)
-	if first && (c.keeper != nil || c.spare.Load()) {
-		c.spreadNews(now, true)
+	if first && (c.keeper != nil || c.isStandbyReader.Load()) {
+		c.propagateChange(now, true)
 	}
 }
 
-// isReady tells whether requests can be served: there is a configuration, and
-// the servers are known. Keys without holders yet do not hold the rest back.
+// isReady reports whether requests can be served: there is a configuration, the servers
+// are known, and so are the holders of keys or maxTableWait has passed.
 func (c *control) isReady(now time.Time) bool {
 	s := c.r.current.Load()
 	if !s.configured || len(s.fleet.All()) == 0 {
 		return false
 	}
-	return len(s.keyed()) == 0 || s.table.Epoch > 0 || now.Sub(c.started) > readyAnyway
+	return len(s.keyed()) == 0 || s.table.Epoch > 0 || now.Sub(c.startedAt) > maxTableWait
 }
 
-// readyAnyway is how long a start may wait for the holders of keys: unkeyed
-// requests are served without them.
-const readyAnyway = 4 * time.Second
+// maxTableWait is how long readiness may be delayed after the start because the holders
+// of keys are unknown. Unkeyed requests are served without them.
+const maxTableWait = 4 * time.Second
 
-// delta takes in news of one kind.
-func (c *control) delta(now time.Time, m deltaMsg) {
+// applyDelta applies changes to the objects of one kind.
+func (c *control) applyDelta(now time.Time, m deltaMsg) {
 	if m.done != nil {
 		defer close(m.done)
 	}
@@ -222,10 +231,10 @@
 	if cache == nil {
 		return
 	}
-	before := cache.CurrentAt()
+	previouslyCurrentAt := cache.CurrentAt()
 	changed := cache.Merge(m.delta)
-	c.gap(now, m.delta.Kind, before)
-	c.known[m.delta.Kind].Store(cache.Through())
+	c.detectOutageEnd(now, m.delta.Kind, previouslyCurrentAt)
+	c.knownRevisions[m.delta.Kind].Store(cache.Through())
 	defer c.booted(now, m.delta.Kind)
 	if len(changed) == 0 {
 		return
@@ -244,30 +253,30 @@
 		c.applyStoredTable(now, changed)
 	}
 	if urgent {
-		c.spreadNews(now, m.fromStore)
+		c.propagateChange(now, m.fromStore)
 	}
 }
 
-// applyConfig puts a newer configuration in force. An older one never replaces it,
-// whatever the order in which they come.
+// applyConfig puts a newer configuration in force. An older version never replaces a
+// newer one, in whichever order they arrive.
 func (c *control) applyConfig(changed []news.Item) {
 	for _, it := range changed {
 		var next config.Config
 		if it.Removed || json.Unmarshal(it.Value, &next) != nil {
-			c.r.log.Warn("config: not usable, the last one stays in force", "name", it.Name, "revision", it.Revision)
+			c.r.log.Warn("config: invalid, keeping the one in force", "name", it.Name, "revision", it.Revision)
 			continue
 		}
 		s := c.r.current.Load()
 		if s.configured && next.Version <= s.config.Version {
-			c.r.log.Warn("config: older than the one in force", "version", next.Version, "inForce", s.config.Version)
+			c.r.log.Warn("config: ignored, older than the one in force", "version", next.Version, "inForce", s.config.Version)
 			continue
 		}
 		if err := next.Check(); err != nil {
-			c.r.log.Warn("config: not usable, the last one stays in force", "version", next.Version, "err", err)
+			c.r.log.Warn("config: invalid, keeping the one in force", "version", next.Version, "err", err)
 			continue
 		}
 		c.r.current.Store(s.withConfig(next.WithIndex()))
-		c.share()
+		c.updateShares()
 		c.r.meters.set("config.version", next.Version)
 		c.r.log.Info("config: in force", "version", next.Version, "revision", it.Revision, "routes", len(next.Routes))
 	}
@@ -280,29 +289,29 @@
 			c.members.AddDiscovered(m)
 		}
 	}
-	c.share()
+	c.updateShares()
 }
 
-// applySettings takes over the seeds and the bounds.
+// applySettings applies the settings that can be changed without a restart.
 func (c *control) applySettings(s setup.Settings) {
 	c.r.mu.Lock()
-	c.r.bounds = s
+	c.r.latestSettings = s
 	c.r.mu.Unlock()
 	c.seeds = s.Seeds
-	c.share()
+	c.updateShares()
 	c.r.log.Info("settings: reloaded", "seeds", len(s.Seeds), "retryShare", s.RetryShare, "coldFactor", s.ColdFactor)
 }
 
-// share divides what the daemons may do together anew.
-func (c *control) share() {
+// updateShares recomputes this daemon's shares of the limits that apply to all daemons together.
+func (c *control) updateShares() {
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	c.r.daemons = c.members.Count()
-	index, near := c.members.LocalIndex()
-	c.r.spread.SetLimits(c.r.limits().WithDaemons(c.members.Count(), c.members.Index()).WithLocalDaemons(near, index))
+	c.r.daemonCount = c.members.Count()
+	localIndex, localCount := c.members.LocalIndex()
+	c.r.spread.SetLimits(c.r.coldLimits().WithDaemons(c.members.Count(), c.members.Index()).WithLocalDaemons(localCount, localIndex))
 	for _, b := range c.r.budgets {
-		b.SetShare(c.r.retryShare() * retryMargin)
-		b.SetBurst(c.r.burst())
+		b.SetShare(c.r.retryShare() * retryUtilisation)
+		b.SetBurst(c.r.retryBurst())
 	}
 }
 
@@ -311,39 +320,39 @@
 		if it.Name != tableName {
 			continue
 		}
-		head, err := grant.UnmarshalHeader(it.Value)
+		header, err := grant.UnmarshalHeader(it.Value)
 		if err != nil || it.Removed {
-			c.unusableTable(it.Revision, err)
+			c.dropStoredTable(it.Revision, err)
 			if it.Removed {
 				c.stored.revision = 0
 			}
 			continue
 		}
-		c.stored = storedTable{head: head, value: it.Value, revision: it.Revision}
-		if !head.Newer(c.r.current.Load().table) {
+		c.stored = storedTable{header: header, value: it.Value, revision: it.Revision}
+		if !header.Newer(c.r.current.Load().table) {
 			continue
 		}
-		if t, err := c.stored.whole(); err == nil {
+		if t, err := c.stored.decode(); err == nil {
 			c.applyTable(now, t)
 		} else {
-			c.unusableTable(it.Revision, err)
+			c.dropStoredTable(it.Revision, err)
 		}
 	}
 }
 
-// unusableTable drops a stored table that cannot be read. What is written next is
-// conditional on its revision all the same.
-func (c *control) unusableTable(revision uint64, err error) {
-	c.r.log.Warn("keys: stored table not usable", "revision", revision, "err", err)
+// dropStoredTable drops a stored table that cannot be decoded. The next write is still
+// conditional on its revision.
+func (c *control) dropStoredTable(revision uint64, err error) {
+	c.r.log.Warn("keys: stored table is invalid", "revision", revision, "err", err)
 	c.stored = storedTable{revision: revision}
 }
 
-// applyTable takes in a table that may be newer than the one in force, and tells
-// whether it is.
+// applyTable puts a table in force if it is newer than the current one, and reports
+// whether it was.
 func (c *control) applyTable(now time.Time, t grant.Table) bool {
 	s := c.r.current.Load()
 	if c.keeper != nil && t.Epoch > c.keeper.Table().Epoch {
-		c.keep(now, keeper.CurrentMsg{Epoch: t.Epoch, At: now})
+		c.updateKeeper(now, keeper.CurrentMsg{Epoch: t.Epoch, At: now})
 	}
 	if !t.Newer(s.table) {
 		return false
@@ -351,9 +360,9 @@
 	if t.Epoch != s.table.Epoch {
 		c.r.log.Info("keys: new leader", "epoch", t.Epoch, "leader", t.Leader.Daemon)
 	}
-	c.tables = append(c.tables, s.table)
-	c.tables = c.tables[max(0, len(c.tables)-tablesKept):]
-	clear(c.tableForms)
+	c.previousTables = append(c.previousTables, s.table)
+	c.previousTables = c.previousTables[max(0, len(c.previousTables)-maxPreviousTables):]
+	clear(c.encodedTables)
 	c.r.current.Store(s.withTable(t))
 	c.r.tableChanged(now, t)
 	c.r.meters.set("keys.epoch", t.Epoch)
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -21,131 +21,135 @@
 	"catkinstep/io/process/setup"
 )
 
-// mute is a Protocol of nobody.
-type mute struct{}
+// stubProtocol is a Protocol that does nothing.
+type stubProtocol struct{}
 
-func (mute) Names() names.Names                         { return names.Default() }
-func (mute) Grant(grant.Call) link.Request              { return link.Request{} }
-func (mute) Release(grant.Call) link.Request            { return link.Request{} }
-func (mute) Result(*link.Answer) (grant.Result, string) { return grant.Unsure, "" }
+func (stubProtocol) Names() names.Names                         { return names.Default() }
+func (stubProtocol) Grant(grant.Call) link.Request              { return link.Request{} }
+func (stubProtocol) Release(grant.Call) link.Request            { return link.Request{} }
+func (stubProtocol) Result(*link.Answer) (grant.Result, string) { return grant.Unsure, "" }
 
-func (mute) ID(http.Header) string                               { return "" }
-func (mute) Patience(http.Header) (time.Duration, bool)          { return 0, false }
-func (mute) Key(config.Service, string, http.Header) (int, bool) { return 0, false }
-func (mute) Answered(http.Header, string, string)                {}
-func (mute) Refused(caller.Refusal) (http.Header, []byte)        { return http.Header{}, nil }
+func (stubProtocol) ID(http.Header) string                                { return "" }
+func (stubProtocol) CallerTimeout(http.Header) (time.Duration, bool)      { return 0, false }
+func (stubProtocol) Key(config.Service, string, http.Header) (int, bool)  { return 0, false }
+func (stubProtocol) AddResponseHeaders(http.Header, string, string)       {}
+func (stubProtocol) RefusalResponse(caller.Refusal) (http.Header, []byte) { return http.Header{}, nil }
 
 var t0 = time.Unix(5000, 0)
 
-func second(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
+// atSecond returns the time s seconds after t0.
+func atSecond(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-// still makes a router whose control state is driven by hand.
-func still() *Router {
-	r := New(setup.Settings{Name: "d", DataCentre: "x", RetryShare: 0.2, RetryBurst: 56, ColdFactor: 1.5, ColdSlack: 5}, nil, mute{},
+// newTestRouter returns a router that does not run. Tests update its control state directly.
+func newTestRouter() *Router {
+	r := New(setup.Settings{Name: "d", DataCentre: "x", RetryShare: 0.2, RetryBurst: 56, ColdFactor: 1.5, ColdSlack: 5}, nil, stubProtocol{},
 		WithLogger(slog.New(slog.DiscardHandler)))
 	r.control = newControl(r, t0)
 	return r
 }
 
-func entryOf(id string, revision uint64) news.Item {
+func serverItem(id string, revision uint64) news.Item {
 	v, _ := json.Marshal(fleet.Server{ID: id, Address: id, Service: "s", DataCentre: "x", Slots: 3, StartMillis: 1})
 	return news.Item{Name: id, Revision: revision, Value: v}
 }
 
-func (r *Router) serversAt(at time.Time, through uint64, items ...news.Item) {
+func (r *Router) updateServers(at time.Time, through uint64, items ...news.Item) {
 	r.control.update(at, deltaMsg{delta: news.Delta{Kind: news.Servers, Items: items, Through: through, CurrentAt: at}})
 }
 
-func (r *Router) lists(id string) bool {
+func (r *Router) hasServer(id string) bool {
 	_, ok := r.current.Load().fleet.Find(id)
 	return ok
 }
 
-// Guards against requests to a server that left, since a failed call was taken for an outage.
-func TestLeaversAreNotLapses(t *testing.T) {
-	Convey("Without a long gap in the news a vanished entry is gone at once", t, func() {
-		r := still()
-		r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6))
-		r.serversAt(second(3.3), 20)
-		r.serversAt(second(3.6), 30, news.Item{Name: "a", Revision: 25, Removed: true})
-		So(r.lists("a"), ShouldBeFalse)
-		So(r.lists("b"), ShouldBeTrue)
+// Guards against requests to a server that has left. A short failure to read the store was
+// taken for an outage, so the server was retained.
+func TestRemovedServersAreDroppedAtOnce(t *testing.T) {
+	Convey("A server whose entry vanishes without an outage of the store is dropped at once", t, func() {
+		r := newTestRouter()
+		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
+		r.updateServers(atSecond(3.3), 20)
+		r.updateServers(atSecond(3.6), 30, news.Item{Name: "a", Revision: 25, Removed: true})
+		So(r.hasServer("a"), ShouldBeFalse)
+		So(r.hasServer("b"), ShouldBeTrue)
 	})
 }
 
-// Guards against living servers that are dropped when the store returns without their entries.
-func TestLapsedEntriesAreKeptForAMoment(t *testing.T) {
-	Convey("They stay for two seconds from the store's return, not from later losses", t, func() {
-		r := still()
-		r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6), entryOf("c", 7))
-		r.serversAt(second(6), 30, news.Item{Name: "a", Revision: 25, Removed: true}, news.Item{Name: "b", Revision: 26, Removed: true})
-		So(r.lists("a"), ShouldBeTrue)
-		r.serversAt(second(7), 40, entryOf("b", 35))
-		r.control.expire(second(8.3))
-		So(r.lists("a"), ShouldBeFalse)
-		So(r.lists("b"), ShouldBeTrue)
-		r.serversAt(second(8.4), 50, news.Item{Name: "c", Revision: 45, Removed: true})
-		So(r.lists("c"), ShouldBeFalse)
+// Guards against dropping live servers whose entries are missing when the store is back
+// after an outage.
+func TestServersAreRetainedAfterAStoreOutage(t *testing.T) {
+	Convey("Servers whose entries vanish are retained until two seconds after the outage, and not after that", t, func() {
+		r := newTestRouter()
+		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6), serverItem("c", 7))
+		r.updateServers(atSecond(6), 30, news.Item{Name: "a", Revision: 25, Removed: true}, news.Item{Name: "b", Revision: 26, Removed: true})
+		So(r.hasServer("a"), ShouldBeTrue)
+		r.updateServers(atSecond(7), 40, serverItem("b", 35))
+		r.control.dropExpired(atSecond(8.3))
+		So(r.hasServer("a"), ShouldBeFalse)
+		So(r.hasServer("b"), ShouldBeTrue)
+		r.updateServers(atSecond(8.4), 50, news.Item{Name: "c", Revision: 45, Removed: true})
+		So(r.hasServer("c"), ShouldBeFalse)
 	})
 }
 
-// Guards against an older or unusable configuration that replaces the one in force.
-func TestConfigurationsNeverRevert(t *testing.T) {
-	Convey("Older and unusable ones change nothing", t, func() {
-		r := still()
-		put := func(revision, version uint64, service string) {
+// Guards against an older or invalid configuration that replaces the one in force.
+func TestOlderConfigurationsAreIgnored(t *testing.T) {
+	Convey("An older or invalid configuration is ignored", t, func() {
+		r := newTestRouter()
+		apply := func(revision, version uint64, service string) {
 			v, _ := json.Marshal(config.Config{Version: version, Services: []config.Service{{Name: "s"}},
 				Routes: []config.Route{{Name: "r", Host: "h", Prefix: "/", Destinations: []config.Destination{{Service: service, Weight: 1}}}}})
 			r.control.update(t0, deltaMsg{delta: news.Delta{Kind: news.Config, Through: revision,
 				Items: []news.Item{{Name: "main", Revision: revision, Value: v}}}})
 		}
-		put(10, 4, "s")
-		put(12, 3, "s")
+		apply(10, 4, "s")
+		apply(12, 3, "s")
 		So(r.current.Load().config.Version, ShouldEqual, 4)
-		put(14, 6, "nowhere")
+		apply(14, 6, "nowhere")
 		So(r.current.Load().config.Version, ShouldEqual, 4)
-		put(16, 7, "s")
+		apply(16, 7, "s")
 		So(r.current.Load().config.Version, ShouldEqual, 7)
 	})
 }
 
-// Retries are bounded over all daemons, which cannot ask each other for each.
-func TestRetriesAreShared(t *testing.T) {
-	Convey("All daemons' bursts together stay under the site's", t, func() {
-		r := still()
-		So(r.burst(), ShouldEqual, 1)
+// Guards against more retries than allowed over all daemons, which do not coordinate each retry.
+func TestRetryBurstIsDividedAmongDaemons(t *testing.T) {
+	Convey("The bursts of all daemons together stay below the configured burst", t, func() {
+		r := newTestRouter()
+		So(r.retryBurst(), ShouldEqual, 1)
 		for _, name := range []string{"e", "f", "g", "h"} {
 			r.control.members.AddDiscovered(member.Member{Name: name, Address: name})
 		}
-		r.control.share()
-		So(5*r.burst(), ShouldBeLessThan, 56)
-		So(r.burst(), ShouldBeGreaterThan, 1)
+		r.control.updateShares()
+		So(5*r.retryBurst(), ShouldBeLessThan, 56)
+		So(r.retryBurst(), ShouldBeGreaterThan, 1)
 	})
 }
 
-func TestHoldStaysWithinTheSitesBound(t *testing.T) {
-	Convey("A site that allows shorter grants gets them", t, func() {
-		r := New(setup.Settings{Name: "d", HoldMost: 2 * time.Second}, nil, mute{})
-		So(r.hold, ShouldEqual, 2*time.Second)
+func TestGrantTTLIsCapped(t *testing.T) {
+	Convey("A shorter limit in the settings shortens grants", t, func() {
+		r := New(setup.Settings{Name: "d", HoldMost: 2 * time.Second}, nil, stubProtocol{})
+		So(r.grantTTL, ShouldEqual, 2*time.Second)
 	})
 }
 
-// Guards against a second holder, since a cut refused connections to the first.
-func TestRefusedConnectionEndsNoLife(t *testing.T) {
-	Convey("A refused call was not sent, and proves nothing more", t, func() {
+// Guards against a second holder of a key. A network partition that refused connections to
+// the first holder was taken for the end of that server.
+func TestRefusedConnectionIsNotSent(t *testing.T) {
+	Convey("A call whose connection is refused counts only as not sent", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		So(l.Close(), ShouldBeNil)
-		r := still()
-		w := r.links.get(linkKey{address: l.Addr().String(), id: "a", use: forGrants})
-		got, _ := r.order(w, grant.Holder{Server: "a"}, link.Request{Method: "POST", Target: "/", Host: "a", Control: true}, time.Second)
-		So(got, ShouldEqual, grant.NotSent)
+		r := newTestRouter()
+		client := r.clientPool.get(clientKey{address: l.Addr().String(), id: "a", purpose: forGrants})
+		result, _ := r.callServer(client, grant.Holder{Server: "a"}, link.Request{Method: "POST", Target: "/", Host: "a", Control: true}, time.Second)
+		So(result, ShouldEqual, grant.NotSent)
 	})
 }
 
-// Guards against daemons that draw alike since they started in the same moment.
-func TestDaemonsDrawTheirOwnNumbers(t *testing.T) {
-	Convey("The name counts beside the moment", t, func() {
+// Guards against daemons that use the same random numbers because they started at the same moment.
+func TestDaemonsHaveDistinctSeeds(t *testing.T) {
+	Convey("The seed depends on the daemon's name as well as its incarnation", t, func() {
 		a := member.Member{Name: "a", Incarnation: 7}
 		b := member.Member{Name: "b", Incarnation: 7}
 		So(seedOf(a), ShouldNotEqual, seedOf(b))
@@ -153,12 +157,13 @@
 	})
 }
 
-// Guards against a stored table of another writer that ends the keys' service.
-func TestUnusableStoredTable(t *testing.T) {
-	Convey("It is replaced, on condition of its revision", t, func() {
+// Guards against an invalid table in the store, written by another program, that stops all
+// requests with keys.
+func TestUnusableStoredTableIsDropped(t *testing.T) {
+	Convey("Only its revision is kept, for the conditional write that replaces it", t, func() {
 		for _, value := range []string{`{"epoch":3,"seq":1,"leader":{},"shares":5}`, `{"epoch":"x"}`, `{`} {
-			r := still()
-			r.control.update(second(1), deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, CurrentAt: second(1)}})
+			r := newTestRouter()
+			r.control.update(atSecond(1), deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, CurrentAt: atSecond(1)}})
 			So(r.current.Load().table.Epoch, ShouldEqual, 0)
 			So(r.control.stored, ShouldResemble, storedTable{revision: 7})
 		}
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -20,15 +20,15 @@
 // second: to a relay of the data centre, and from there to the leader, who gets
 // one message for each relay and not for each daemon.
 func (c *control) sendHeat(now time.Time, relay bool) {
-	if now.Sub(c.counts.at) < heatEvery {
+	if now.Sub(c.lastCountReport.at) < loadReportInterval {
 		return
 	}
-	h := c.gossipNow(now)
-	last := c.counts
-	c.counts = countReport{at: now, epoch: c.r.current.Load().table.Epoch}
-	h.Heat, h.Paces = c.r.takeHeat(last.relayed, c.counts.epoch != last.epoch)
+	h := c.newGossip(now)
+	last := c.lastCountReport
+	c.lastCountReport = countReport{at: now, epoch: c.r.current.Load().table.Epoch}
+	h.Heat, h.Paces = c.r.takeHeat(last.relayed, c.lastCountReport.epoch != last.epoch)
 	if c.keeper != nil {
-		c.heats.add(h)
+		c.loadStats.add(h)
 		return
 	}
 	to := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
@@ -48,10 +48,10 @@
 func (c *control) takeHeat(now time.Time, h *wire.Gossip) {
 	switch {
 	case c.keeper != nil:
-		c.heats.add(h)
+		c.loadStats.add(h)
 	case tellsCounts(h) && h.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
 		c.r.addHeat(h.Heat)
-		c.counts.relayed = append(c.counts.relayed, h.Paces...)
+		c.lastCountReport.relayed = append(c.lastCountReport.relayed, h.Paces...)
 	}
 }
 
@@ -60,8 +60,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range heat {
-		k := heatKey{service: x.Service, bucket: x.Bucket}
-		r.heat[k] = r.heat[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
+		k := bucketKey{service: x.Service, bucket: x.Bucket}
+		r.bucketLoads[k] = r.bucketLoads[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
 	}
 }
 
@@ -72,11 +72,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var heat []*wire.Heat
-	for k, n := range r.heat {
+	for k, n := range r.bucketLoads {
 		heat = append(heat, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: n.requests,
-			WorkMillis: uint32(n.work.Milliseconds()), AimMillis: uint32(n.aim.Milliseconds())})
+			WorkMillis: uint32(n.serviceTime.Milliseconds()), AimMillis: uint32(n.latencyTarget.Milliseconds())})
 	}
-	clear(r.heat)
+	clear(r.bucketLoads)
 	keyed := map[string]bool{}
 	for _, s := range r.current.Load().keyed() {
 		keyed[s] = true
--- a/io/process/router/doc.go
+++ b/io/process/router/doc.go
@@ -1,13 +1,13 @@
-// Package router is one daemon: it takes callers' requests, sends each to the
-// backend server that may run it, and keeps what it knows of the site by
-// reading the platform's store and by talking to the other daemons.
+// Package router implements a daemon. It accepts callers' requests and forwards each to a
+// backend server that may run it. It keeps the configuration, the servers and the holders
+// of keys up to date by reading the platform's object store and by gossip with the other
+// daemons.
 //
-// One goroutine owns the control state (control.go); requests read an immutable
-// snapshot (snap.go). Decisions are made by packages under core; this package
-// carries them out.
+// One goroutine owns the control state (control.go). Requests read an immutable snapshot
+// (snap.go). The packages under core make the decisions and this package executes them.
 //
 // # Usage
 //
-//	r, err := router.New(settings, store, protocol, router.WithLogger(logger))
-//	err = r.Run(ctx) // until the context ends; then it stops without cutting
+//	r := router.New(settings, store, protocol, router.WithLogger(logger))
+//	err := r.Run(ctx) // serves until the context ends, then finishes running requests
 package router
--- a/io/process/router/error.go
+++ b/io/process/router/error.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Address Kind = "address" // an address cannot be listened at
-	Stopped Kind = "stopped" // a listener ended by itself
+	Address Kind = "address" // an address cannot be listened on
+	Stopped Kind = "stopped" // a server ended unexpectedly
 )
 
 // Error is the error type of this package.
--- a/io/process/router/fetch.go
+++ b/io/process/router/fetch.go
@@ -10,52 +10,52 @@
 	"catkinstep/core/version/news"
 )
 
-// fetchPatience is how long a fetch is left alone before another daemon is asked too.
-const fetchPatience = 300 * time.Millisecond
+// slowFetchThreshold is how long a fetch may take before another daemon is asked as well.
+const slowFetchThreshold = 300 * time.Millisecond
 
-// fetches are the calls under way that ask for changes, by kind: one for each, and a
-// second one to another daemon when the first takes long. A daemon whose processor or link
-// is busy answers after seconds, while others have the same news.
-type fetches map[string][]fetching
+// pendingFetches holds the fetches in flight, by kind of object: one for each kind, and a
+// second one to another daemon if the first takes long. A daemon whose processor or
+// network link is busy may answer after seconds, while others have the same changes.
+type pendingFetches map[string][]pendingFetch
 
-type fetching struct {
-	address string
-	began   time.Time
+type pendingFetch struct {
+	address   string
+	startedAt time.Time
 }
 
-// begin notes a call, and tells whether it may be made.
-func (f fetches) begin(now time.Time, kind, address string) bool {
-	out := f[kind]
-	switch len(out) {
+// begin reports whether a fetch may be sent to an address, and if so records it.
+func (f pendingFetches) begin(now time.Time, kind, address string) bool {
+	pending := f[kind]
+	switch len(pending) {
 	case 0:
 	case 1:
-		if out[0].address == address || now.Sub(out[0].began) < fetchPatience {
+		if pending[0].address == address || now.Sub(pending[0].startedAt) < slowFetchThreshold {
 			return false
 		}
 	default:
 		return false
 	}
-	f[kind] = append(out, fetching{address: address, began: now})
+	f[kind] = append(pending, pendingFetch{address: address, startedAt: now})
 	return true
 }
 
-// end notes that a call has ended.
-func (f fetches) end(kind, address string) {
-	f[kind] = slices.DeleteFunc(f[kind], func(v fetching) bool { return v.address == address })
+// end records that a fetch has ended.
+func (f pendingFetches) end(kind, address string) {
+	f[kind] = slices.DeleteFunc(f[kind], func(v pendingFetch) bool { return v.address == address })
 }
 
-// fetch asks another daemon for changes.
+// fetch requests changes from another daemon, unless enough fetches are in flight.
 func (c *control) fetch(now time.Time, address string, f *wire.Fetch) {
-	if c.fetches.begin(now, f.Kind, address) {
+	if c.pendingFetches.begin(now, f.Kind, address) {
 		go c.r.sendFetch(address, f)
 	}
 }
 
 func (r *Router) sendFetch(address string, f *wire.Fetch) {
-	defer r.post(fetchedMsg{kind: f.Kind, address: address})
+	defer r.post(fetchEndedMsg{kind: f.Kind, address: address})
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), fetchTimeout)
 	defer cancel()
-	asked := r.now()
+	requestedAt := r.now()
 	reply, err := r.call(ctx, address, &wire.Call{Kind: &wire.Call_Fetch{Fetch: f}})
 	if err != nil || reply.GetDelta() == nil {
 		r.log.Debug("mesh: fetch failed", "from", address, "kind", f.Kind, "err", err)
@@ -63,71 +63,71 @@
 	}
 	d := reply.GetDelta()
 	if f.Kind == tableKind {
-		t, err := r.readFetched(d)
+		t, err := r.decodeTable(d)
 		if err != nil {
-			r.log.Warn("mesh: table not readable", "from", address, "err", err)
+			r.log.Warn("mesh: could not decode fetched table", "from", address, "err", err)
 			return
 		}
 		r.post(tableMsg{table: t})
 		return
 	}
-	out := news.Delta{Kind: news.Kind(f.Kind), Through: d.Through, Whole: d.Whole, CurrentAt: ago(asked, d.AgeMillis)}
+	out := news.Delta{Kind: news.Kind(f.Kind), Through: d.Through, Whole: d.Whole, CurrentAt: timeFromAge(requestedAt, d.AgeMillis)}
 	for _, it := range d.Items {
 		out.Items = append(out.Items, news.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
 	}
 	r.post(deltaMsg{delta: out})
 }
 
-// readFetched reads a table that was fetched whole or as a change. A change that
-// was made for another table than the present one, which a newer one has replaced
-// meanwhile, leaves the present one.
-func (r *Router) readFetched(d *wire.Delta) (grant.Table, error) {
+// decodeTable decodes a table that was fetched as a whole or as a change. If the table
+// that a change applies to has been replaced meanwhile, decodeTable returns the current one.
+func (r *Router) decodeTable(d *wire.Delta) (grant.Table, error) {
 	if len(d.Change) == 0 {
 		return grant.Unmarshal(d.Table)
 	}
-	c, err := grant.UnmarshalChange(d.Change)
+	change, err := grant.UnmarshalChange(d.Change)
 	if err != nil {
 		return grant.Table{}, err
 	}
-	t, _ := r.current.Load().table.WithChange(c)
+	t, _ := r.current.Load().table.WithChange(change)
 	return t, nil
 }
 
-// fetched answers another daemon's fetch.
-func (c *control) fetched(now time.Time, f *wire.Fetch) *wire.Delta {
+// answerFetch returns the reply to another daemon's fetch.
+func (c *control) answerFetch(now time.Time, f *wire.Fetch) *wire.Delta {
 	if f.Kind == tableKind {
-		return c.fetchedTable(f)
+		return c.answerTableFetch(f)
 	}
 	cache := c.caches[news.Kind(f.Kind)]
 	if cache == nil {
 		return &wire.Delta{Kind: f.Kind}
 	}
 	d := cache.Since(f.Since)
-	out := &wire.Delta{Kind: f.Kind, Through: d.Through, Whole: d.Whole, AgeMillis: age(now, d.CurrentAt)}
+	out := &wire.Delta{Kind: f.Kind, Through: d.Through, Whole: d.Whole, AgeMillis: ageMillis(now, d.CurrentAt)}
 	for _, it := range d.Items {
 		out.Items = append(out.Items, &wire.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
 	}
 	return out
 }
 
-// fetchedTable answers with what changed since the asker's table, if that one is
-// still remembered here, or with the whole table.
-func (c *control) fetchedTable(f *wire.Fetch) *wire.Delta {
+// answerTableFetch replies with the change since the other daemon's table, if that table
+// is among previousTables, or else with the whole table.
+func (c *control) answerTableFetch(f *wire.Fetch) *wire.Delta {
 	out, t := &wire.Delta{Kind: f.Kind}, c.r.current.Load().table
-	for _, old := range c.tables {
+	for _, old := range c.previousTables {
 		if old.Epoch != f.Epoch || old.Seq != f.Since || old.Epoch != t.Epoch {
 			continue
 		}
-		if out.Change = c.written(old.Seq, func() ([]byte, error) { return changeSince(t, old) }); out.Change != nil {
+		if out.Change = c.encodeTable(old.Seq, func() ([]byte, error) { return encodeChange(t, old) }); out.Change != nil {
 			return out
 		}
 	}
-	out.Table = c.written(0, t.Marshal)
+	out.Table = c.encodeTable(0, t.Marshal)
 	return out
 }
 
-// changeSince is the wire form of a change; nothing where the whole table is needed.
-func changeSince(t, old grant.Table) ([]byte, error) {
+// encodeChange encodes the change from an older table. It returns nil if the whole table
+// is needed.
+func encodeChange(t, old grant.Table) ([]byte, error) {
 	change, ok := t.ChangeSince(old)
 	if !ok {
 		return nil, nil
@@ -135,23 +135,24 @@
 	return change.Marshal()
 }
 
-// written is the wire form of the present table, whole or as the change since an older one.
-// All daemons of a data centre ask for the same.
-func (c *control) written(since uint64, marshal func() ([]byte, error)) []byte {
-	if data, ok := c.tableForms[since]; ok {
+// encodeTable returns the encoded form of the current table: the whole table if since is
+// 0, or the change since an older one. The result is cached, since all daemons of a data
+// centre ask for the same.
+func (c *control) encodeTable(since uint64, marshal func() ([]byte, error)) []byte {
+	if data, ok := c.encodedTables[since]; ok {
 		return data
 	}
 	data, err := marshal()
 	if err != nil {
-		c.r.log.Error("keys: table not written", "since", since, "err", err)
+		c.r.log.Error("keys: could not encode table", "since", since, "err", err)
 		return nil
 	}
 	if data != nil {
-		c.tableForms[since] = data
+		c.encodedTables[since] = data
 	}
 	return data
 }
 
-// tablesKept is how many tables before the present one are remembered to tell
-// changes from: those of the last second, while keys move for balance.
-const tablesKept = 20
+// maxPreviousTables is how many previous tables are kept to compute changes from: the
+// tables of about the last second while keys are moved to balance load.
+const maxPreviousTables = 20
--- a/io/process/router/fetch_test.go
+++ b/io/process/router/fetch_test.go
@@ -7,15 +7,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against news that waits for a busy daemon's answer for seconds, while others have it.
-func TestAnotherDaemonIsAskedWhenOneIsSlow(t *testing.T) {
-	Convey("A second one is asked after a while, and no third", t, func() {
-		f := fetches{}
+// Guards against changes that are delayed for seconds by one busy daemon, while other
+// daemons have them.
+func TestSlowFetchIsSentToASecondDaemon(t *testing.T) {
+	Convey("A fetch that takes long is sent to a second daemon, but not to a third", t, func() {
+		f := pendingFetches{}
 		So(f.begin(t0, "servers", "slow"), ShouldBeTrue)
 		So(f.begin(t0, "config", "slow"), ShouldBeTrue)
-		So(f.begin(t0.Add(fetchPatience-time.Millisecond), "servers", "other"), ShouldBeFalse)
-		So(f.begin(t0.Add(fetchPatience), "servers", "slow"), ShouldBeFalse)
-		So(f.begin(t0.Add(fetchPatience), "servers", "other"), ShouldBeTrue)
+		So(f.begin(t0.Add(slowFetchThreshold-time.Millisecond), "servers", "other"), ShouldBeFalse)
+		So(f.begin(t0.Add(slowFetchThreshold), "servers", "slow"), ShouldBeFalse)
+		So(f.begin(t0.Add(slowFetchThreshold), "servers", "other"), ShouldBeTrue)
 		So(f.begin(t0.Add(time.Hour), "servers", "third"), ShouldBeFalse)
 		f.end("servers", "other")
 		So(f.begin(t0.Add(time.Hour), "servers", "third"), ShouldBeTrue)
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -12,114 +12,121 @@
 	"catkinstep/io/connection/mesh"
 )
 
-// tableKind is asked for to get the published table.
+// tableKind is the kind in a fetch of the published table, as opposed to the stored one.
 const tableKind = "published"
 
-// gossip tells the other daemons what is known here. A daemon talks to the relays
-// of its data centre; relays also talk to those of others and to the leader, and
-// look for the lost.
+// gossip sends this daemon's state to other daemons where it is due. A daemon gossips
+// with the relays of its data centre. Relays also gossip with the relays of other data
+// centres, with the leader, and with all daemons of their data centre, so that lost ones
+// are found again. A daemon that has led gossips with the leader as well, and one that
+// knows no other daemon gossips with the seeds.
 func (c *control) gossip(now time.Time) {
 	relay := c.members.IsRelay(now)
-	if c.due(now, &c.paces.near, c.members.GossipInterval()) {
+	if c.due(now, &c.lastRuns.localGossip, c.members.GossipInterval()) {
 		c.gossipTo(now, c.members.LocalRelays(now), true)
 		c.sendHeat(now, relay)
 	}
-	if c.members.Count() == 1 && c.due(now, &c.paces.seeds, leaderGossip) {
+	if c.members.Count() == 1 && c.due(now, &c.lastRuns.seedGossip, leaderGossipInterval) {
 		c.gossipTo(now, c.seeds, false)
 	}
-	if !relay && !c.lead.led {
+	if !relay && !c.leadership.hasLed {
 		return
 	}
-	if c.due(now, &c.paces.leader, leaderGossip) {
+	if c.due(now, &c.lastRuns.leaderGossip, leaderGossipInterval) {
 		if leader := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon); leader != "" {
 			c.gossipTo(now, []string{leader}, false)
 		}
 	}
-	if relay && c.due(now, &c.paces.far, farGossip) {
+	if relay && c.due(now, &c.lastRuns.remoteGossip, remoteGossipInterval) {
 		c.gossipTo(now, c.members.RemoteRelaysAfterSelf(now), false)
 		c.gossipTo(now, c.members.LocalPeers(now), true)
 	}
 }
 
-// paces are when gossip of each kind last went out.
-type paces struct{ near, leader, far, seeds, issuers, spare time.Time }
+// lastRuns holds when each periodic task last ran.
+type lastRuns struct{ localGossip, leaderGossip, remoteGossip, seedGossip, issuerList, standbyCheck time.Time }
 
-// due tells whether it is time for a kind of gossip, and notes it.
-func (c *control) due(now time.Time, last *time.Time, pace time.Duration) bool {
-	if now.Sub(*last) < pace {
+// due reports whether a task that last ran at *last is due again. If so, it sets *last to now.
+func (c *control) due(now time.Time, last *time.Time, interval time.Duration) bool {
+	if now.Sub(*last) < interval {
 		return false
 	}
 	*last = now
 	return true
 }
 
-// spreadNews passes a change on at once. Who read it from the store, or made it,
-// tells all relays and its own data centre; a relay that learns of it tells its own.
-func (c *control) spreadNews(now time.Time, first bool) {
-	if first || c.members.IsRelay(now) {
+// propagateChange gossips at once, so that others learn of a change. The daemon that read
+// it from the store or made it (isOrigin) gossips with all relays and its own data centre.
+// A relay that learns of it gossips with its own data centre.
+func (c *control) propagateChange(now time.Time, isOrigin bool) {
+	if isOrigin || c.members.IsRelay(now) {
 		c.gossipTo(now, c.members.LocalPeers(now), true)
 	}
-	if first {
+	if isOrigin {
 		c.gossipTo(now, c.members.RemoteRelays(now), false)
 	}
 }
 
-// gossipToAll tells everybody at once; only for what is rare and cannot wait.
+// gossipToAll gossips with all other daemons at once. It is meant for rare changes that
+// cannot wait.
 func (c *control) gossipToAll(now time.Time) { c.gossipTo(now, c.members.AllPeers(now), false) }
 
-// gossipTo tells some; near ones also learn what this daemon has under way.
-func (c *control) gossipTo(now time.Time, addresses []string, near bool) {
+// gossipTo gossips with the given addresses, except those with a gossip call in flight.
+// If withLoad is set, the gossip includes the requests that this daemon has in flight.
+func (c *control) gossipTo(now time.Time, addresses []string, withLoad bool) {
 	for _, a := range addresses {
-		if a == c.r.self.Address || c.calling[a] {
+		if a == c.r.self.Address || c.gossipPending[a] {
 			continue
 		}
-		h := c.gossipNow(now)
-		if near {
-			c.addUnderWay(now, h, "")
+		g := c.newGossip(now)
+		if withLoad {
+			c.addLoad(now, g, "")
 		}
-		c.send(a, h)
+		c.startGossip(a, g)
 	}
 }
 
-// send gossips to a daemon; one call at a time.
-func (c *control) send(address string, h *wire.Gossip) {
-	c.calling[address] = true
-	go c.r.sendGossip(address, h)
+// startGossip starts a gossip call to an address and records it as in flight.
+func (c *control) startGossip(address string, g *wire.Gossip) {
+	c.gossipPending[address] = true
+	go c.r.sendGossip(address, g)
 }
 
-// gossipNow is what this daemon says to everybody.
-func (c *control) gossipNow(now time.Time) *wire.Gossip {
+// newGossip returns the part of the gossip that is the same for all receivers.
+func (c *control) newGossip(now time.Time) *wire.Gossip {
 	t := c.r.current.Load().table
-	h := &wire.Gossip{
+	g := &wire.Gossip{
 		Name: c.r.self.Name, Address: c.r.self.Address, DataCentre: c.r.self.DataCentre, Incarnation: c.r.self.Incarnation, Strength: c.r.self.Strength,
-		Leaving: c.leaving || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: age(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: age(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
+		Leaving: c.leaving || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: ageMillis(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: ageMillis(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
 		Leader: t.Leader.Daemon, LeaderIncarnation: t.Leader.Incarnation, LeaderAgeMillis: c.leaderAge(now, t.Leader),
 	}
 	for _, k := range news.Kinds {
-		s := c.caches[k]
-		h.Known = append(h.Known, &wire.Known{Kind: string(k), Through: s.Through(), AgeMillis: age(now, s.CurrentAt())})
+		cache := c.caches[k]
+		g.Known = append(g.Known, &wire.Known{Kind: string(k), Through: cache.Through(), AgeMillis: ageMillis(now, cache.CurrentAt())})
 	}
-	h.Suspects, h.Sent = c.r.suspectNews(), c.r.sentNews()
-	h.LimitsEpoch, h.LimitsSeq = c.limits.epoch, c.limits.seq
-	return h
+	g.Suspects, g.Sent = c.r.suspectNews(), c.r.sentNews()
+	g.LimitsEpoch, g.LimitsSeq = c.limits.epoch, c.limits.seq
+	return g
 }
 
-// addUnderWay adds what this daemon has under way, for others of its data centre. To
-// one that asks, a relay adds up what all the rest have, so that it need not ask
-// them.
-func (c *control) addUnderWay(now time.Time, h *wire.Gossip, asker string) {
+// addLoad adds the requests that this daemon has in flight, for daemons of its data
+// centre. In the reply to a peer's gossip, a relay gives the total of all daemons except
+// that peer instead, so that the peer need not ask the others. peer is empty otherwise.
+func (c *control) addLoad(now time.Time, g *wire.Gossip, peer string) {
 	relay := c.members.IsRelay(now)
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	at := c.r.spread.OwnLoad()
-	if asker != "" && relay {
-		at, h.Summed = c.r.spread.TotalLoad(now, asker), true
+	loads := c.r.spread.OwnLoad()
+	if peer != "" && relay {
+		loads, g.Summed = c.r.spread.TotalLoad(now, peer), true
 	}
-	for id, n := range at {
-		h.UnderWay = append(h.UnderWay, &wire.UnderWay{Server: id, Requests: uint32(n)})
+	for id, n := range loads {
+		g.UnderWay = append(g.UnderWay, &wire.UnderWay{Server: id, Requests: uint32(n)})
 	}
 }
 
+// leaderAge is how long ago, in milliseconds, the leader was last heard of; -1 if it is
+// unknown or an earlier incarnation of this daemon.
 func (c *control) leaderAge(now time.Time, l grant.Leader) int64 {
 	if l.Daemon == c.r.self.Name {
 		if l.Incarnation == c.r.self.Incarnation {
@@ -127,20 +134,20 @@
 		}
 		return -1
 	}
-	return age(now, c.members.LastHeard(l.Daemon))
+	return ageMillis(now, c.members.LastHeard(l.Daemon))
 }
 
-func (r *Router) sendGossip(address string, h *wire.Gossip) {
+func (r *Router) sendGossip(address string, g *wire.Gossip) {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), meshTimeout)
 	defer cancel()
-	reply, err := r.call(ctx, address, &wire.Call{Kind: &wire.Call_Gossip{Gossip: h}})
-	r.post(calledMsg{address: address})
+	reply, err := r.call(ctx, address, &wire.Call{Kind: &wire.Call_Gossip{Gossip: g}})
+	r.post(gossipEndedMsg{address: address})
 	if err != nil {
 		var e *mesh.Error
 		if errors.As(err, &e) && e.Kind == mesh.Refused {
-			r.post(refusedMsg{address: address})
+			r.post(connectionRefusedMsg{address: address})
 		}
-		r.post(missedMsg{address: address})
+		r.post(unansweredMsg{address: address})
 		return
 	}
 	if reply.GetGossip() != nil {
@@ -148,84 +155,88 @@
 	}
 }
 
-// applyGossip takes in what another daemon said, and fetches what it knows and we do not.
+// applyGossip applies another daemon's gossip, and fetches the changes that it has and
+// this daemon does not.
 func (c *control) applyGossip(now time.Time, m gossipMsg) {
-	h := m.gossip
+	g := m.gossip
 	if m.reply != nil {
-		reply := c.gossipNow(now)
-		if h.DataCentre == c.r.self.DataCentre {
-			c.addUnderWay(now, reply, h.Name)
+		reply := c.newGossip(now)
+		if g.DataCentre == c.r.self.DataCentre {
+			c.addLoad(now, reply, g.Name)
 		}
-		if c.limits.newer(limits{epoch: h.LimitsEpoch, seq: h.LimitsSeq}) {
+		if c.limits.newer(limits{epoch: g.LimitsEpoch, seq: g.LimitsSeq}) {
 			reply.Limits = c.limits.message(now)
 		}
 		m.reply <- reply
 	}
 	before := c.members.Count()
-	c.members.RecordGossip(now, member.Member{Name: h.Name, Address: h.Address, DataCentre: h.DataCentre, Incarnation: h.Incarnation, Strength: h.Strength},
-		member.Status{Leaving: h.Leaving, LastStoreResponse: ago(now, h.StoredAgeMillis), LastStoreFailure: ago(now, h.StoreFailedAgeMillis), Epoch: h.Epoch})
-	if h.Leader != h.Name && h.LeaderAgeMillis >= 0 {
-		c.members.RecordIndirectContact(h.Leader, h.LeaderIncarnation, ago(now, h.LeaderAgeMillis))
+	c.members.RecordGossip(now, member.Member{Name: g.Name, Address: g.Address, DataCentre: g.DataCentre, Incarnation: g.Incarnation, Strength: g.Strength},
+		member.Status{Leaving: g.Leaving, LastStoreResponse: timeFromAge(now, g.StoredAgeMillis), LastStoreFailure: timeFromAge(now, g.StoreFailedAgeMillis), Epoch: g.Epoch})
+	if g.Leader != g.Name && g.LeaderAgeMillis >= 0 {
+		c.members.RecordIndirectContact(g.Leader, g.LeaderIncarnation, timeFromAge(now, g.LeaderAgeMillis))
 	}
 	if c.members.Count() != before {
-		c.share()
+		c.updateShares()
 	}
-	c.underWay(now, h)
-	c.r.heardOfSent(h.Sent)
-	if c.r.heardOfLosses(h.Suspects) {
-		c.spreadNews(now, false)
+	c.applyPeerLoad(now, g)
+	c.r.heardOfSent(g.Sent)
+	if c.r.heardOfLosses(g.Suspects) {
+		c.propagateChange(now, false)
 	}
-	c.takeHeat(now, h)
-	c.heardLimits(now, h.Limits)
+	c.takeHeat(now, g)
+	c.heardLimits(now, g.Limits)
 	t := c.r.current.Load().table
-	if (grant.Table{Epoch: h.Epoch, Seq: h.Seq}).Newer(t) {
-		c.fetch(now, h.Address, &wire.Fetch{Kind: tableKind, Since: t.Seq, Epoch: t.Epoch})
+	if (grant.Table{Epoch: g.Epoch, Seq: g.Seq}).Newer(t) {
+		c.fetch(now, g.Address, &wire.Fetch{Kind: tableKind, Since: t.Seq, Epoch: t.Epoch})
 	}
-	for _, k := range h.Known {
+	for _, k := range g.Known {
 		cache := c.caches[news.Kind(k.Kind)]
 		if cache == nil {
 			continue
 		}
 		if k.Through > cache.Through() {
-			c.fetch(now, h.Address, &wire.Fetch{Kind: k.Kind, Since: cache.Through()})
+			c.fetch(now, g.Address, &wire.Fetch{Kind: k.Kind, Since: cache.Through()})
 		} else if k.Through == cache.Through() && k.Through > 0 {
 			before := cache.CurrentAt()
-			cache.Merge(news.Delta{Kind: news.Kind(k.Kind), Through: k.Through, CurrentAt: ago(now, k.AgeMillis)})
-			c.gap(now, news.Kind(k.Kind), before)
+			cache.Merge(news.Delta{Kind: news.Kind(k.Kind), Through: k.Through, CurrentAt: timeFromAge(now, k.AgeMillis)})
+			c.detectOutageEnd(now, news.Kind(k.Kind), before)
 		}
 	}
 }
 
-// underWay takes in what others of this data centre have at servers. A relay has
-// each one's own count and needs no sum of another relay.
-func (c *control) underWay(now time.Time, h *wire.Gossip) {
-	if h.DataCentre != c.r.self.DataCentre || h.Name == c.r.self.Name || h.Summed && c.members.IsRelay(now) {
+// applyPeerLoad records the requests that other daemons of this data centre have in
+// flight at servers. A relay gets the count of each daemon and ignores the total of
+// another relay.
+func (c *control) applyPeerLoad(now time.Time, g *wire.Gossip) {
+	if g.DataCentre != c.r.self.DataCentre || g.Name == c.r.self.Name || g.Summed && c.members.IsRelay(now) {
 		return
 	}
-	if len(h.UnderWay) == 0 && !h.Summed {
-		return // gossip that says nothing of it; older ones lose their weight soon
+	if len(g.UnderWay) == 0 && !g.Summed {
+		return // this gossip carries no load; the recorded one expires soon
 	}
-	at := map[string]int{}
-	for _, u := range h.UnderWay {
-		at[u.Server] = int(u.Requests)
+	loads := map[string]int{}
+	for _, u := range g.UnderWay {
+		loads[u.Server] = int(u.Requests)
 	}
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	if h.Summed {
-		c.r.spread.SetPeerTotal(now, at)
+	if g.Summed {
+		c.r.spread.SetPeerTotal(now, loads)
 		return
 	}
-	c.r.spread.SetPeerLoad(now, h.Name, at)
+	c.r.spread.SetPeerLoad(now, g.Name, loads)
 }
 
-func age(now, at time.Time) int64 {
-	if at.IsZero() {
+// ageMillis is the time since t in milliseconds; -1 if t is zero.
+func ageMillis(now, t time.Time) int64 {
+	if t.IsZero() {
 		return -1
 	}
-	return now.Sub(at).Milliseconds()
+	return now.Sub(t).Milliseconds()
 }
 
-func ago(now time.Time, millis int64) time.Time {
+// timeFromAge is the inverse of ageMillis.
+func timeFromAge(now time.Time, millis int64) time.Time {
 	if millis < 0 {
 		return time.Time{}
 	}
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -11,114 +11,116 @@
 	"catkinstep/io/connection/link"
 )
 
-// tableName is the stored table's name.
+// tableName is the name of the table in the store.
 const tableName = "keys"
 
-// tryLead takes the lead when nobody has it any more.
-func (c *control) tryLead(now time.Time) {
-	if c.keeper != nil || c.lead.taking || c.leaving || c.through(news.Tables) == 0 || len(c.r.current.Load().keyed()) == 0 {
+// tryTakeLead starts an attempt to become the leader if the known leader appears to have
+// ended or stepped down.
+func (c *control) tryTakeLead(now time.Time) {
+	if c.keeper != nil || c.leadership.acquiring || c.leaving || c.knownRevision(news.Tables) == 0 || len(c.r.current.Load().keyed()) == 0 {
 		return
 	}
-	try, _ := c.members.ShouldTakeLead(now, c.stored.head.Leader)
-	if !try {
+	shouldTake, _ := c.members.ShouldTakeLead(now, c.stored.header.Leader)
+	if !shouldTake {
 		return
 	}
-	stored, err := c.stored.whole()
+	stored, err := c.stored.decode()
 	if err != nil {
-		c.unusableTable(c.stored.revision, err)
+		c.dropStoredTable(c.stored.revision, err)
 	}
-	c.lead.taking = true
+	c.leadership.acquiring = true
 	next := stored.WithCompletedMoves(c.r.current.Load().table)
 	next.Epoch, next.Seq = stored.Epoch+1, stored.Seq+1
 	next.Leader = grant.Leader{Daemon: c.r.self.Name, Incarnation: c.r.self.Incarnation}
 	go c.r.takeLead(next, stored, c.stored.revision)
 }
 
-// takeLead writes the table under a new epoch, if it is still the one that the
-// decision was made on.
-func (r *Router) takeLead(next, before grant.Table, revision uint64) {
+// takeLead stores the table under a new epoch, provided that the stored table is still
+// the one that the decision was based on.
+func (r *Router) takeLead(next, previous grant.Table, revision uint64) {
 	item, err := r.saveTable(next, revision)
 	if err == nil {
-		r.post(leadMsg{table: next, before: before, revision: item.Revision})
+		r.post(leadTakenMsg{table: next, previous: previous, revision: item.Revision})
 		return
 	}
-	r.log.Info("keys: lead not taken", "epoch", next.Epoch, "err", err)
+	r.log.Info("keys: could not become leader", "epoch", next.Epoch, "err", err)
 	ctx := r.tomb.Context(context.Background())
 	if _, err := r.readTable(ctx); err != nil {
-		r.log.Info("keys: table not read after that", "err", err)
+		r.log.Info("keys: could not read table after failing to become leader", "err", err)
 	}
-	sleep(ctx, backoffLeast)
-	r.post(leadFailMsg{})
+	sleep(ctx, minBackoff)
+	r.post(leadNotTakenMsg{})
 }
 
-// leadership is what a daemon knows of its own leading.
-type leadership struct {
-	// before is the leader that it took the lead from.
-	before grant.Leader
-	// taking is set while it tries to take the lead.
-	taking bool
-	// led is set once it has led: the next leader waits for its gossip.
-	led bool
+// leaderState is the state of this daemon's own leadership.
+type leaderState struct {
+	// previous is the leader that this daemon replaced.
+	previous grant.Leader
+	// acquiring is set during an attempt to become the leader.
+	acquiring bool
+	// hasLed is set once the daemon has been the leader. It then keeps sending gossip to
+	// the leader, since its successor waits for that.
+	hasLed bool
 }
 
-// beginLead begins a leadership.
-func (c *control) beginLead(now time.Time, m leadMsg) {
-	c.lead = leadership{before: m.before.Leader, led: true}
+// startLeading makes this daemon act as the leader.
+func (c *control) startLeading(now time.Time, m leadTakenMsg) {
+	c.leadership = leaderState{previous: m.previous.Leader, hasLed: true}
 	c.members.RecordStoreResponse(now)
-	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithHold(c.r.hold))
-	c.heats = newHeats()
-	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.lead.before.Daemon, "revision", m.revision)
-	c.updateFleet(now)
+	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithHold(c.r.grantTTL))
+	c.loadStats = newHeats()
+	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.leadership.previous.Daemon, "revision", m.revision)
+	c.updateKeeperFleet(now)
 	c.runKeeper(now)
 }
 
-// runKeeper lets the keeper act on what is known now.
+// runKeeper passes the current state to the keeper and lets it act.
 func (c *control) runKeeper(now time.Time) {
-	c.updateFleet(now)
-	c.keep(now, keeper.CurrentMsg{Epoch: c.stored.head.Epoch, At: c.caches[news.Tables].CurrentAt()})
-	if c.keeper != nil && c.members.HasSteppedDown(c.lead.before, c.keeper.Table().Epoch) {
-		c.keep(now, keeper.OldLeaderMsg{At: now})
+	c.updateKeeperFleet(now)
+	c.updateKeeper(now, keeper.CurrentMsg{Epoch: c.stored.header.Epoch, At: c.caches[news.Tables].CurrentAt()})
+	if c.keeper != nil && c.members.HasSteppedDown(c.leadership.previous, c.keeper.Table().Epoch) {
+		c.updateKeeper(now, keeper.OldLeaderMsg{At: now})
 	}
-	if now.Sub(c.heats.meter.WindowStart()) >= heatEvery {
+	if now.Sub(c.loadStats.meter.WindowStart()) >= loadReportInterval {
 		s := c.r.current.Load()
-		for _, l := range c.heats.roll(now, s.config, s.fleet) {
-			c.keep(now, l)
+		for _, l := range c.loadStats.roll(now, s.config, s.fleet) {
+			c.updateKeeper(now, l)
 		}
 	}
-	c.keep(now, keeper.TickMsg{})
+	c.updateKeeper(now, keeper.TickMsg{})
 }
 
-func (c *control) updateFleet(now time.Time) {
+func (c *control) updateKeeperFleet(now time.Time) {
 	s := c.r.current.Load()
-	c.keep(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyed(), Out: s.out, Keep: s.config.DisableRebalancing, Daemons: c.members.Count()})
+	c.updateKeeper(now, keeper.FleetMsg{Fleet: s.fleet, Keyed: s.keyed(), Out: s.out, Keep: s.config.DisableRebalancing, Daemons: c.members.Count()})
 }
 
-// keep passes a message to the keeper and carries out what it wants.
-func (c *control) keep(now time.Time, m keeper.Msg) {
+// updateKeeper passes a message to the keeper and executes the commands that it returns.
+func (c *control) updateKeeper(now time.Time, m keeper.Msg) {
 	if c.keeper == nil {
 		return
 	}
 	for _, cmd := range c.keeper.Update(now, m) {
-		c.carryOut(now, cmd)
+		c.execute(now, cmd)
 		if c.keeper == nil {
 			return
 		}
 	}
 }
 
-func (c *control) carryOut(now time.Time, cmd keeper.Cmd) {
+func (c *control) execute(now time.Time, cmd keeper.Cmd) {
 	switch cmd := cmd.(type) {
 	case keeper.GrantCmd:
-		go c.r.grant(cmd)
+		go c.r.sendGrant(cmd)
 	case keeper.ReleaseCmd:
-		go c.r.release(cmd)
+		go c.r.sendRelease(cmd)
 	case keeper.SaveCmd:
-		go c.r.saveKept(cmd)
+		go c.r.saveKeeperTable(cmd)
 	case keeper.ReadCmd:
-		go c.r.readKept()
+		go c.r.readKeeperTable()
 	case keeper.PublishCmd:
 		c.applyTable(now, cmd.Table)
-		c.spreadNews(now, true)
+		c.propagateChange(now, true)
 	case keeper.LimitCmd:
 		c.setLimits(now, limits{epoch: c.keeper.Table().Epoch, seq: c.limits.seq + 1, at: now, each: cmd.Limits, contended: cmd.Contended}, true)
 	case keeper.ResignCmd:
@@ -130,41 +132,41 @@
 	}
 }
 
-func (r *Router) grant(cmd keeper.GrantCmd) {
-	m := keeper.GrantedMsg{Cmd: cmd, Result: grant.NotSent}
-	w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.StartMillis, use: forGrants})
-	w.turn.Lock()
+func (r *Router) sendGrant(cmd keeper.GrantCmd) {
+	outcome := keeper.GrantedMsg{Cmd: cmd, Result: grant.NotSent}
+	client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forGrants})
+	client.grantMu.Lock()
 	if r.now().Before(cmd.Before) {
-		q := r.protocol.Grant(cmd.Call)
-		q.KeptOnly = cmd.Renewal
-		m.Result, _ = r.order(w, cmd.Holder, q, grantTimeout)
+		req := r.protocol.Grant(cmd.Call)
+		req.KeptOnly = cmd.Renewal
+		outcome.Result, _ = r.callServer(client, cmd.Holder, req, grantTimeout)
 	}
-	w.turn.Unlock()
-	m.At = r.now()
-	r.meters.add("grants." + m.Result.String())
-	r.post(keeperMsg{msg: m})
+	client.grantMu.Unlock()
+	outcome.At = r.now()
+	r.meters.add("grants." + outcome.Result.String())
+	r.post(keeperMsg{msg: outcome})
 }
 
-func (r *Router) release(cmd keeper.ReleaseCmd) {
-	m := keeper.ReleasedMsg{Cmd: cmd, Result: grant.NotSent}
+func (r *Router) sendRelease(cmd keeper.ReleaseCmd) {
+	outcome := keeper.ReleasedMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.Before) {
-		w := r.links.get(linkKey{address: cmd.Address, id: cmd.Holder.Server, born: cmd.Holder.StartMillis, use: forReleases})
-		m.Result, m.Handover = r.order(w, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
+		client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forReleases})
+		outcome.Result, outcome.Handover = r.callServer(client, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
-	r.meters.add("releases." + m.Result.String())
-	r.post(keeperMsg{msg: m})
+	r.meters.add("releases." + outcome.Result.String())
+	r.post(keeperMsg{msg: outcome})
 }
 
-// order makes a call to a server that is no caller's request.
-func (r *Router) order(w *way, h grant.Holder, q link.Request, timeout time.Duration) (grant.Result, string) {
+// callServer makes a control call to a server: a grant or a release.
+func (r *Router) callServer(client *serverClient, h grant.Holder, req link.Request, timeout time.Duration) (grant.Result, string) {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), timeout)
 	defer cancel()
-	a, err := w.Do(ctx, q)
+	answer, err := client.Do(ctx, req)
 	if err == nil {
-		return r.protocol.Result(a)
+		return r.protocol.Result(answer)
 	}
-	if !q.KeptOnly || !link.NotRun(err) {
-		r.log.Info("keys: call to server failed", "target", q.Target, "server", h.Server, "host", q.Host, "err", err)
+	if !req.KeptOnly || !link.NotRun(err) {
+		r.log.Info("keys: call to server failed", "target", req.Target, "server", h.Server, "host", req.Host, "err", err)
 	}
 	if link.NotRun(err) {
 		return grant.NotSent, ""
@@ -172,6 +174,8 @@
 	return grant.Unsure, ""
 }
 
+// saveTable replaces the stored table if it is at the given revision. On a conflict it
+// returns the table in the store.
 func (r *Router) saveTable(t grant.Table, revision uint64) (news.Item, error) {
 	value, err := t.Marshal()
 	if err != nil {
@@ -187,8 +191,10 @@
 	return item, err
 }
 
-func (r *Router) saveKept(cmd keeper.SaveCmd) {
-	asked := r.now()
+// saveKeeperTable saves the keeper's table and passes the table that is then in the store
+// to the keeper.
+func (r *Router) saveKeeperTable(cmd keeper.SaveCmd) {
+	requestedAt := r.now()
 	item, err := r.saveTable(cmd.Table, cmd.Revision)
 	var e *news.Error
 	if err != nil && (!errors.As(err, &e) || e.Kind != news.Conflict) {
@@ -196,17 +202,18 @@
 		r.post(keeperMsg{msg: keeper.UnstoredMsg{}})
 		return
 	}
-	r.postStored(item, asked)
+	r.postStoredTable(item, requestedAt)
 }
 
-func (r *Router) readKept() {
-	asked := r.now()
+// readKeeperTable reads the stored table and passes it to the keeper.
+func (r *Router) readKeeperTable() {
+	requestedAt := r.now()
 	item, err := r.readTable(r.tomb.Context(context.Background()))
 	if err != nil {
 		r.post(keeperMsg{msg: keeper.UnstoredMsg{}})
 		return
 	}
-	r.postStored(item, asked)
+	r.postStoredTable(item, requestedAt)
 }
 
 func (r *Router) readTable(ctx context.Context) (news.Item, error) {
@@ -214,19 +221,19 @@
 	defer cancel()
 	item, err := r.store.Read(ctx, news.Tables, tableName)
 	if err != nil {
-		r.log.Warn("keys: table not read", "err", err)
+		r.log.Warn("keys: could not read table", "err", err)
 		return item, err
 	}
 	r.post(deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{item}}})
 	return item, nil
 }
 
-func (r *Router) postStored(item news.Item, asked time.Time) {
+func (r *Router) postStoredTable(item news.Item, requestedAt time.Time) {
 	t, err := grant.Unmarshal(item.Value)
 	if err != nil {
-		r.log.Error("keys: stored table not readable", "revision", item.Revision, "err", err)
+		r.log.Error("keys: could not decode stored table", "revision", item.Revision, "err", err)
 		r.post(keeperMsg{msg: keeper.UnstoredMsg{}})
 		return
 	}
-	r.post(keeperMsg{msg: keeper.StoredMsg{Table: t, Revision: item.Revision, Asked: asked}})
+	r.post(keeperMsg{msg: keeper.StoredMsg{Table: t, Revision: item.Revision, Asked: requestedAt}})
 }
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -30,7 +30,7 @@
 
 // message is the form for other daemons.
 func (l limits) message(now time.Time) *wire.Limits {
-	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: age(now, l.at), Contended: l.contended}
+	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: ageMillis(now, l.at), Contended: l.contended}
 	for _, x := range l.each {
 		out.Limits = append(out.Limits, &wire.Limit{Service: x.Service, Bucket: uint32(x.Bucket), Part: float32(x.Fraction)})
 	}
@@ -42,7 +42,7 @@
 	if m == nil {
 		return
 	}
-	l := limits{epoch: m.Epoch, seq: m.Seq, at: ago(now, m.AgeMillis), contended: m.Contended}
+	l := limits{epoch: m.Epoch, seq: m.Seq, at: timeFromAge(now, m.AgeMillis), contended: m.Contended}
 	for _, x := range m.Limits {
 		l.each = append(l.each, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Fraction: float64(x.Part)})
 	}
@@ -61,7 +61,7 @@
 	c.limits = l
 	sent := time.Now().Add(l.at.Sub(now))
 	c.r.mu.Lock()
-	c.r.gate.SetLimits(sent, l.each)
+	c.r.admission.SetLimits(sent, l.each)
 	c.r.permits.set(sent, l.contended)
 	c.r.mu.Unlock()
 	var to []string
@@ -72,12 +72,12 @@
 		to = append(to, c.members.RemoteRelays(now)...)
 	}
 	for _, a := range to {
-		if c.calling[a] {
+		if c.gossipPending[a] {
 			continue // its next gossip asks for them
 		}
-		h := c.gossipNow(now)
+		h := c.newGossip(now)
 		h.Limits = l.message(now)
-		c.send(a, h)
+		c.startGossip(a, h)
 	}
 }
 
@@ -87,6 +87,6 @@
 	if o.admitted {
 		return 0, true
 	}
-	back, o.admitted = r.gate.Admit(now, o.service.Name, keeper.Bucket(o.key))
+	back, o.admitted = r.admission.Admit(now, o.service.Name, keeper.Bucket(o.key))
 	return back, o.admitted
 }
--- a/io/process/router/answer.go
+++ b/io/process/router/mesh.go
@@ -6,7 +6,7 @@
 	"catkinstep/core/connection/wire"
 )
 
-// call asks another daemon, and counts what that costs.
+// call sends a call to another daemon and counts the bytes sent and received.
 func (r *Router) call(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
 	r.meters.addBytes(bytesOut, call)
 	reply, err := r.mesh.Call(ctx, address, call)
@@ -16,8 +16,8 @@
 	return reply, err
 }
 
-// askShort is call for a short question that is asked often.
-func (r *Router) askShort(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
+// callShort is like call, but for short calls that are made often.
+func (r *Router) callShort(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
 	r.meters.addBytes(bytesOut, call)
 	reply, err := r.mesh.Ask(ctx, address, call)
 	if err == nil {
@@ -26,21 +26,21 @@
 	return reply, err
 }
 
-// answerMesh answers another daemon's call, and counts what that costs.
-func (r *Router) answerMesh(ctx context.Context, call *wire.Call) *wire.Reply {
+// handleMeshCall answers another daemon's call and counts the bytes received and sent.
+func (r *Router) handleMeshCall(ctx context.Context, call *wire.Call) *wire.Reply {
 	r.meters.addBytes(bytesIn, call)
-	reply := r.answerCall(ctx, call)
+	reply := r.handleCall(ctx, call)
 	if reply != nil {
 		r.meters.addBytes(bytesOut, reply)
 	}
 	return reply
 }
 
-func (r *Router) answerCall(ctx context.Context, call *wire.Call) *wire.Reply {
-	switch k := call.Kind.(type) {
+func (r *Router) handleCall(ctx context.Context, call *wire.Call) *wire.Reply {
+	switch kind := call.Kind.(type) {
 	case *wire.Call_Gossip:
 		reply := make(chan *wire.Gossip, 1)
-		if !r.post(gossipMsg{gossip: k.Gossip, reply: reply}) {
+		if !r.post(gossipMsg{gossip: kind.Gossip, reply: reply}) {
 			return &wire.Reply{Error: "stopping"}
 		}
 		select {
@@ -50,7 +50,7 @@
 		}
 	case *wire.Call_Fetch:
 		reply := make(chan *wire.Delta, 1)
-		if !r.post(fetchMsg{fetch: k.Fetch, reply: reply}) {
+		if !r.post(fetchMsg{fetch: kind.Fetch, reply: reply}) {
 			return &wire.Reply{Error: "stopping"}
 		}
 		select {
@@ -59,9 +59,9 @@
 		case <-ctx.Done():
 		}
 	case *wire.Call_Permit:
-		return &wire.Reply{Permit: r.issue(k.Permit)}
+		return &wire.Reply{Permit: r.issue(kind.Permit)}
 	case *wire.Call_PermitEnd:
-		r.permitEnded(k.PermitEnd)
+		r.permitEnded(kind.PermitEnd)
 		return nil
 	case *wire.Call_Status:
 		if s, ok := r.ownStatus(ctx); ok {
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -15,129 +15,138 @@
 )
 
 const (
-	// tickEvery paces the control loop; it bounds how late a renewal or a move is.
-	tickEvery = 50 * time.Millisecond
-	// leaderGossip and farGossip pace gossip across data centres: to the leader, which
-	// shows that it lives, and between relays; bytes between data centres are saved.
-	// Those within one are paced by package member.
-	leaderGossip = 500 * time.Millisecond
-	farGossip    = 4 * time.Second
-	// meshTimeout bounds one call between daemons.
+	// tickInterval is the time between two ticks of the control loop. It bounds how late
+	// the renewal or move of a key range is.
+	tickInterval = 50 * time.Millisecond
+	// leaderGossipInterval and remoteGossipInterval are the times between two rounds of
+	// gossip with the leader, which shows that the leader is alive, and with the relays of
+	// other data centres, where the interval is long to save traffic. Package member
+	// determines the interval within a data centre.
+	leaderGossipInterval = 500 * time.Millisecond
+	remoteGossipInterval = 4 * time.Second
+	// meshTimeout bounds a call between daemons.
 	meshTimeout = 700 * time.Millisecond
-	// fetchTimeout bounds a fetch: a large configuration shares a narrow link with
-	// requests.
+	// fetchTimeout bounds a fetch. It is longer, since a large configuration may share a
+	// slow network link with requests.
 	fetchTimeout = 3 * time.Second
-	// serverPace is the pause between two reads of the servers' changes, which
-	// come many times a second. A leaving server must be known within two seconds.
-	serverPace = 300 * time.Millisecond
-	// sparePace is the same for the spare reader, of all kinds: most changes have come to
-	// it from the leader by then, and are not passed on twice.
-	sparePace = 700 * time.Millisecond
-	// spareEvery paces the look who the spare reader is, for which relays of all data
-	// centres are put in order.
-	spareEvery = 200 * time.Millisecond
-	// serverWait and quietWait are how long a watch may hear nothing: servers
-	// write every second or two, the rest changes rarely.
-	serverWait = 600 * time.Millisecond
-	quietWait  = 2500 * time.Millisecond
-	// probeWait is the same for the first watch after a failed call.
-	probeWait = 20 * time.Millisecond
-	// watchSlack is how much longer than that its answer may take.
-	watchSlack = 700 * time.Millisecond
+	// serverReadPause is the pause between two reads of changes to servers, which occur many
+	// times a second. Daemons must learn within two seconds that a server is leaving.
+	serverReadPause = 300 * time.Millisecond
+	// standbyReadPause is the pause between two reads of any kind by the standby reader. By
+	// the end of it, most changes have reached it from the leader and are not propagated twice.
+	standbyReadPause = 700 * time.Millisecond
+	// standbyCheckInterval is the time between two checks whether this daemon is the standby
+	// reader. A check sorts the relays of all data centres.
+	standbyCheckInterval = 200 * time.Millisecond
+	// serverWatchWait and watchWait are how long a watch waits for a change. Servers update
+	// their entries every second or two, all other objects change rarely.
+	serverWatchWait = 600 * time.Millisecond
+	watchWait       = 2500 * time.Millisecond
+	// probeWatchWait is how long the first watch after a failed call waits for a change.
+	probeWatchWait = 20 * time.Millisecond
+	// watchTimeoutMargin is how much longer than these waits a watch may take to answer.
+	watchTimeoutMargin = 700 * time.Millisecond
 	// storeTimeout bounds other calls to the store, which take milliseconds.
 	storeTimeout = 900 * time.Millisecond
-	// backoffLeast and backoffMost bound the pause after a failed call.
-	backoffLeast = 150 * time.Millisecond
-	backoffMost  = 600 * time.Millisecond
-	// grantTimeout bounds a grant; a release waits for running work.
+	// minBackoff and maxBackoff bound the pause after a failed call to the store.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 600 * time.Millisecond
+	// grantTimeout and releaseTimeout bound calls to servers. A release waits until the
+	// server's running requests have ended.
 	grantTimeout   = 700 * time.Millisecond
 	releaseTimeout = 3 * time.Second
-	// lapseGrace keeps servers whose entries vanished in an outage of the store,
-	// from its return on: those that live are back within about two seconds.
-	lapseGrace = 2200 * time.Millisecond
-	// outageLeast is the shortest time without news in which entries may lapse:
-	// three of the servers' heartbeats. Other daemons stand in for a reader that
-	// alone is refused before that, so a gap this long is the store's.
-	outageLeast = 2500 * time.Millisecond
-	// heatEvery paces the counts of keys that go to the leader: a key is hot for a
-	// few seconds.
-	heatEvery = 500 * time.Millisecond
-	// lingerAfter is how long after the stop began new connections are taken:
-	// the balancer needs two misses, a second apart.
-	lingerAfter = 2800 * time.Millisecond
-	// exitMargin is left of the grace when the process ends in any case.
-	exitMargin = 400 * time.Millisecond
-	// retryMargin is the part of the allowed retries that is used; the rest is
+	// retentionTime is how long after an outage of the store servers whose entries vanished
+	// are retained. Those that are alive are listed again within about two seconds.
+	retentionTime = 2200 * time.Millisecond
+	// minOutage is the shortest time without updates after which entries of live servers may
+	// have expired: three of the servers' heartbeats. If the store refuses only one reader,
+	// another daemon takes over sooner, so a gap of this length means an outage of the store.
+	minOutage = 2500 * time.Millisecond
+	// loadReportInterval is the time between two reports of the load on keys to the leader.
+	// It is short because a key may be hot for only a few seconds.
+	loadReportInterval = 500 * time.Millisecond
+	// shutdownAcceptTime is how long connections are still accepted after a shutdown began:
+	// the load balancer needs two failed health checks, a second apart.
+	shutdownAcceptTime = 2800 * time.Millisecond
+	// shutdownMargin is how long before the end of the grace period the daemon stops waiting
+	// for running requests.
+	shutdownMargin = 400 * time.Millisecond
+	// retryUtilisation is the part of the allowed retries that is used. The rest is left
 	// for daemons whose share of the requests has just shrunk.
-	retryMargin = 0.7
-	// answerMargin is how long past the deadline a server's own answer is awaited.
-	answerMargin = 60 * time.Millisecond
-	// wayBack is taken off the time that a server gets, for its answer's way.
-	wayBack = 3 * time.Millisecond
-	// grantLinks is how many connections for grants are kept to each server.
-	grantLinks = 1
-	// headerMost, bodyMost, headerWithin and idleMost bound callers until a
-	// configuration does: usual values of HTTP servers.
-	headerMost   = 16 << 10
-	bodyMost     = 1 << 20
-	headerWithin = 3 * time.Second
-	idleMost     = 15 * time.Second
-	// statusTimeout bounds the question what is in force at another daemon.
+	retryUtilisation = 0.7
+	// responseMargin is how long after the deadline a server's response is still awaited.
+	responseMargin = 60 * time.Millisecond
+	// responseTransitTime is subtracted from the time that a server is given, for the
+	// transfer of its response.
+	responseTransitTime = 3 * time.Millisecond
+	// maxIdleGrantConns is how many idle connections for grants, and for releases, are kept
+	// to each server.
+	maxIdleGrantConns = 1
+	// The default limits apply to callers until a configuration is in force. They are usual
+	// values of HTTP servers.
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 1 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+	// statusTimeout bounds a request for the status of all daemons.
 	statusTimeout = 700 * time.Millisecond
-	// notReadyRetry is when callers are asked back who come before there is a
-	// configuration; reading it takes some milliseconds.
-	notReadyRetry = 250 * time.Millisecond
+	// notReadyRetryDelay is the retry delay given to callers while there is no
+	// configuration yet. Reading it takes a few milliseconds.
+	notReadyRetryDelay = 250 * time.Millisecond
 )
 
-// Store is the platform's object store in the project's own terms. Errors are
-// of type *news.Error.
+// Store is the platform's object store, independent of the platform's API. Errors are of
+// type *news.Error.
 type Store interface {
-	// List returns all objects of a kind, as they are or, if rough, as they were
-	// some seconds ago at worst: a look that costs the store little.
-	List(ctx context.Context, kind news.Kind, rough bool) (news.Delta, error)
-	// Watch waits for changes after a revision, and returns none after a while.
+	// List returns all objects of a kind. If allowStale is set, the list may be some
+	// seconds old, which costs the store little.
+	List(ctx context.Context, kind news.Kind, allowStale bool) (news.Delta, error)
+	// Watch returns the changes after a revision, or none if there are none within wait.
 	Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error)
 	// Read returns one object.
 	Read(ctx context.Context, kind news.Kind, name string) (news.Item, error)
-	// Save replaces an object that is at a revision; 0 means that there is none.
-	// On a conflict it returns the object as it is.
+	// Save replaces an object if it is at the given revision, or creates it if revision is
+	// 0. On a conflict it returns the object in the store.
 	Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error)
 }
 
-// Protocol is how backend servers and callers are talked to.
+// Protocol defines the platform's requests and headers towards backend servers and callers.
 type Protocol interface {
+	// Names returns the names of the headers.
 	Names() names.Names
+	// Grant returns the request that grants a range of keys to a server.
 	Grant(grant.Call) link.Request
+	// Release returns the request by which a server releases a range of keys.
 	Release(grant.Call) link.Request
-	// Result sorts the answer to either; handover comes with a release.
+	// Result interprets the response to a grant or a release. A release returns the
+	// handover as well.
 	Result(*link.Answer) (r grant.Result, handover string)
-	Callers
+	CallerProtocol
 }
 
-// Callers is the part of a Protocol that callers see.
-type Callers interface {
-	// ID names one try of a caller.
+// CallerProtocol is the part of a Protocol that concerns callers.
+type CallerProtocol interface {
+	// ID returns the id of a caller's request.
 	ID(h http.Header) string
-	// Patience is how long the caller waits, if it says.
-	Patience(h http.Header) (time.Duration, bool)
-	// Key is the number of the key that a request for a service is about; the
-	// path is the one that goes to the server.
+	// CallerTimeout returns how long the caller waits, if its request says so.
+	CallerTimeout(h http.Header) (time.Duration, bool)
+	// Key returns the number of the key that a request for a service refers to, if any. The
+	// path is the one that is sent to the server.
 	Key(s config.Service, path string, h http.Header) (int, bool)
-	// Answered adds to a server's answer what callers get beside it.
-	Answered(h http.Header, id, server string)
-	// Refused forms an answer that is not a server's.
-	Refused(f caller.Refusal) (http.Header, []byte)
+	// AddResponseHeaders adds headers for the caller to a server's response.
+	AddResponseHeaders(h http.Header, id, server string)
+	// RefusalResponse returns the header and body of a response that the daemon itself gives.
+	RefusalResponse(f caller.Refusal) (http.Header, []byte)
 }
 
 // Option changes a Router that New makes.
 type Option func(*Router)
 
-// WithLogger sets where decisions are logged.
+// WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(r *Router) { r.log = l } }
 
-// WithClock sets the clock of the control state; it must go on while the host
-// is suspended.
+// WithClock sets the clock of the control state. It must advance while the host is suspended.
 func WithClock(now func() time.Time) Option { return func(r *Router) { r.now = now } }
 
-// WithHold sets how long grants last.
-func WithHold(d time.Duration) Option { return func(r *Router) { r.hold = d } }
+// WithGrantTTL sets how long a grant is valid. The settings may shorten it.
+func WithGrantTTL(ttl time.Duration) Option { return func(r *Router) { r.grantTTL = ttl } }
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -65,7 +65,7 @@
 // listIssuers notes which daemons may issue permits, and drops those of requests that must
 // have ended.
 func (c *control) listIssuers(now time.Time) {
-	if c.due(now, &c.paces.issuers, issuersEvery) {
+	if c.due(now, &c.lastRuns.issuerList, issuersEvery) {
 		living := c.members.ReachableAddresses(now)
 		c.r.permits.issuers.Store(&living)
 		c.r.mu.Lock()
@@ -158,7 +158,7 @@
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", v.ID, v.StartMillis), ID: r.permits.lastID, Slots: v.Slots,
-		ServiceTime: work, MaxLatency: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), TTL: o.deadline.Sub(now) + answerMargin,
+		ServiceTime: work, MaxLatency: r.spread.LatencyBudget(o.need) - now.Sub(o.Read), TTL: o.deadline.Sub(now) + responseMargin,
 	}, true
 }
 
@@ -182,7 +182,7 @@
 	}
 	wait, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := r.askShort(wait, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
+	reply, err := r.callShort(wait, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
 	if err != nil || reply.Permit == nil {
 		r.meters.add("permits.unanswered")
 		if ctx.Err() == nil { // else the caller left
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -19,11 +19,11 @@
 
 // contended makes a router that issues permits for the holder of all keys.
 func contended() *Router {
-	r := still()
+	r := newTestRouter()
 	r.self.Address = "me"
 	r.control.members.AddDiscovered(r.self)
-	r.serversAt(second(1), 10, entryOf("a", 5))
-	r.control.applyTable(second(1), onTheWay(1, false))
+	r.updateServers(atSecond(1), 10, serverItem("a", 5))
+	r.control.applyTable(atSecond(1), onTheWay(1, false))
 	r.permits.issuers.Store(&map[string][]string{"x": {"me"}})
 	r.control.setLimits(r.now(), limits{epoch: 1, seq: 1, at: r.now(), contended: []string{"a"}}, false)
 	return r
@@ -118,8 +118,8 @@
 		for i := range 20 {
 			r.control.members.AddDiscovered(member.Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i)})
 		}
-		r.control.share()
-		r.serversAt(second(2), 20, entryOf("b", 11), entryOf("c", 12), entryOf("d", 13), entryOf("e", 14))
+		r.control.updateShares()
+		r.updateServers(atSecond(2), 20, serverItem("b", 11), serverItem("c", 12), serverItem("d", 13), serverItem("e", 14))
 		o := lookup(time.Second)
 		o.key, o.service.Keyed, o.need.Service = -1, false, config.Service{Name: "s"}
 		for _, v := range r.current.Load().fleet.All() {
@@ -144,7 +144,7 @@
 		_, refused := begun(r, 1)
 		So(refused, ShouldBeEmpty)
 		r.permits.issuer.Acquire(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, TTL: time.Second})
-		r.control.listIssuers(second(1))
+		r.control.listIssuers(atSecond(1))
 		So(r.permits.issuer.Count(), ShouldEqual, 1)
 		So(r.meters.vars.Get("permits.counted").String(), ShouldEqual, "1")
 	})
--- /dev/null
+++ b/io/process/router/read.go
@@ -0,0 +1,116 @@
+package router
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"catkinstep/core/process/member"
+	"catkinstep/core/version/news"
+)
+
+// roleCheckInterval is the time between two checks whether this daemon should read the store.
+const roleCheckInterval = 100 * time.Millisecond
+
+// readKind reads the objects of one kind from the store and follows their changes,
+// whenever this daemon should do so, until the router stops.
+func (r *Router) readKind(kind news.Kind) error {
+	ctx := r.tomb.Context(context.Background())
+	backoff, listed, storeUp := minBackoff, false, true
+	for r.tomb.Alive() {
+		if !r.shouldReadKind(kind) {
+			sleep(ctx, roleCheckInterval)
+			continue
+		}
+		requestedAt := r.now()
+		r.meters.add("store.read." + string(kind))
+		d, err := r.listOrWatch(ctx, kind, listed, storeUp)
+		if err != nil {
+			r.meters.add("store.failed." + string(kind))
+			if ctx.Err() != nil {
+				return nil //nolint:nilerr // the router stops
+			}
+			listed, storeUp = listed && !isHistoryLost(err), isHistoryLost(err)
+			r.log.Warn("store: read failed", "kind", kind, "since", r.control.knownRevision(kind), "err", err)
+			if !isHistoryLost(err) {
+				r.post(storeFailedMsg{})
+			}
+			r.waitBeforeRetry(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
+			continue
+		}
+		backoff, listed, storeUp = minBackoff, true, true
+		d.CurrentAt = requestedAt
+		done := make(chan struct{})
+		if !r.post(deltaMsg{delta: d, fromStore: true, done: done}) {
+			return nil
+		}
+		<-done
+		switch {
+		case !r.control.isReader.Load():
+			sleep(ctx, standbyReadPause)
+		case kind == news.Servers:
+			sleep(ctx, serverReadPause)
+		}
+	}
+	return nil
+}
+
+// shouldReadKind reports whether this daemon should read a kind of object from the store
+// now. Every daemon reads all kinds once after its start. The standby reader reads only
+// the kinds that decide where requests go.
+func (r *Router) shouldReadKind(kind news.Kind) bool {
+	urgent := kind == news.Config || kind == news.Servers || kind == news.Outs
+	return r.control.isReader.Load() || r.control.knownRevision(kind) == 0 || urgent && r.control.isStandbyReader.Load()
+}
+
+// waitBeforeRetry waits after a failed call to the store. The wait grows with the number
+// of daemons of the data centre that rank before this one, and ends early once this daemon
+// need not read any more.
+func (r *Router) waitBeforeRetry(ctx context.Context, backoff time.Duration) {
+	startedAt := r.now()
+	sleep(ctx, backoff)
+	for ctx.Err() == nil && r.control.isReader.Load() && r.now().Sub(startedAt) < member.RetryDelay(int(r.control.localRank.Load()), backoff) {
+		sleep(ctx, roleCheckInterval)
+	}
+}
+
+// listOrWatch lists the objects of a kind the first time and after the store has lost the
+// history of changes, and otherwise waits for changes. The very first list may be stale:
+// later changes arrive with the first watch, or with the gossip of daemons that started
+// earlier. A stale list costs the store little, and the lists of daemons that start at the
+// same time are most of the load on the store within an hour. After a failed call
+// (storeUp is false) the store may be down, and a long watch that began then would receive
+// nothing even once the store is back, so a short watch comes first.
+func (r *Router) listOrWatch(ctx context.Context, kind news.Kind, listed, storeUp bool) (news.Delta, error) {
+	since := r.control.knownRevision(kind)
+	if !listed || since == 0 {
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+		defer cancel()
+		return r.store.List(ctx, kind, since == 0)
+	}
+	wait := watchWait
+	switch {
+	case !storeUp:
+		wait = probeWatchWait
+	case kind == news.Servers:
+		wait = serverWatchWait
+	}
+	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
+	defer cancel()
+	return r.store.Watch(ctx, kind, since, wait)
+}
+
+func isHistoryLost(err error) bool {
+	var e *news.Error
+	return errors.As(err, &e) && e.Kind == news.Forgotten
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -61,6 +61,6 @@
 }
 
 func (r *Router) refusal(f caller.Refusal) caller.Reply {
-	h, body := r.protocol.Refused(f)
+	h, body := r.protocol.RefusalResponse(f)
 	return caller.Reply{Status: f.Status, Header: h, Body: body}
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -38,11 +38,11 @@
 
 // Router is one daemon.
 type Router struct {
-	settings setup.Settings
+	settings setup.Settings // passed to New
 	store    Store
 	protocol Protocol
 	log      *slog.Logger
-	hold     time.Duration
+	grantTTL time.Duration
 	now      func() time.Time
 	self     member.Member
 
@@ -50,109 +50,109 @@
 	control *control
 	inbox   chan any
 	current atomic.Pointer[snap]
-	// opened is closed and replaced when a new table is in force.
-	opened  atomic.Pointer[chan struct{}]
-	ready   atomic.Bool
-	running chan struct{} // closed once the addresses are open
-	aborted atomic.Bool
-	callers *caller.Server
-	mesh    *mesh.Mesh
-	links   links
+	// tableUpdated is closed and replaced when a new table comes into force.
+	tableUpdated atomic.Pointer[chan struct{}]
+	ready        atomic.Bool
+	listening    chan struct{} // closed once all addresses are listened on
+	aborted      atomic.Bool
+	callers      *caller.Server
+	mesh         *mesh.Mesh
+	clientPool   clientPool
 
 	mu      sync.Mutex // guards what follows, shared by requests
 	spread  *spread.Balancer
 	budgets map[string]*retry.Budget
-	// suspects are requests that servers were lost with.
-	suspects   *crash.Suspects
-	suspicions recent[*wire.Suspect]
-	// sent are the ids of requests that must run once; unanswered are those that may have
-	// run without an answer.
-	sent       *sent.History
-	unanswered recent[firstSent]
-	burn       *burn.Meter
-	// gaps are how long ranges stayed closed.
-	gaps    *gaps.Estimator
-	gate    *admit.Limiter
-	permits permits
-	// booted is closed once requests need not wait for what a start must read.
-	booted chan struct{}
-	boot   boot.Boot
+	// suspects are requests during which servers were lost.
+	suspects       *crash.Suspects
+	recentSuspects recent[*wire.Suspect]
+	// sent holds the ids of requests that must not run twice, and recentUnanswered those
+	// that may have run without an answer and that other daemons must learn of.
+	sent             *sent.History
+	recentUnanswered recent[firstSent]
+	burn             *burn.Meter
+	// gaps estimates how long ranges stay closed.
+	gaps      *gaps.Estimator
+	admission *admit.Limiter
+	permits   permits
+	// bootDone is closed once requests no longer wait for the first lists from the store.
+	bootDone chan struct{}
+	boot     boot.Boot
 
-	bounds  setup.Settings // those that can be reloaded
-	daemons int
-	heat    map[heatKey]heatCount
-	random  *rand.Rand
+	latestSettings setup.Settings // passed to New or the last Reload; only some take effect without a restart
+	daemonCount    int
+	bucketLoads    map[bucketKey]bucketLoad
+	random         *rand.Rand
 
 	meters *meters
 }
 
-type heatKey struct {
+type bucketKey struct {
 	service string
 	bucket  uint32
 }
 
-// heatCount is what came for a bucket of keys: how many requests, their work and
-// their aims in all.
-type heatCount struct {
-	requests  uint32
-	work, aim time.Duration
+// bucketLoad is the load on a bucket of keys: the number of requests, and the sums of
+// their service times and of their target latencies.
+type bucketLoad struct {
+	requests                   uint32
+	serviceTime, latencyTarget time.Duration
 }
 
-// with adds requests.
-func (h heatCount) with(requests uint32, work, aim time.Duration) heatCount {
-	return heatCount{requests: h.requests + requests, work: h.work + work, aim: h.aim + aim}
+// with returns the load with further requests added.
+func (l bucketLoad) with(requests uint32, serviceTime, latencyTarget time.Duration) bucketLoad {
+	return bucketLoad{requests: l.requests + requests, serviceTime: l.serviceTime + serviceTime, latencyTarget: l.latencyTarget + latencyTarget}
 }
 
-// inboxSize bounds the messages that wait for the control loop.
+// inboxSize is the number of messages that can be queued for the control loop.
 const inboxSize = 256
 
-// New returns a Router that does nothing yet.
-func New(s setup.Settings, st Store, sp Protocol, opts ...Option) *Router {
+// New returns a Router. It does nothing until Run is called.
+func New(s setup.Settings, st Store, p Protocol, opts ...Option) *Router {
 	r := &Router{
-		settings: s, store: st, protocol: sp, log: slog.Default(),
-		hold: keeper.DefaultHold, now: clock.Now, meters: newMeters(), bounds: s, daemons: 1,
-		inbox: make(chan any, inboxSize), running: make(chan struct{}),
-		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashBound, crashKeep), sent: sent.New(keepSent), heat: map[heatKey]heatCount{},
+		settings: s, store: st, protocol: p, log: slog.Default(),
+		grantTTL: keeper.DefaultHold, now: clock.Now, meters: newMeters(), latestSettings: s, daemonCount: 1,
+		inbox: make(chan any, inboxSize), listening: make(chan struct{}),
+		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashBound, crashKeep), sent: sent.New(keepSent), bucketLoads: map[bucketKey]bucketLoad{},
 		self: member.Member{Name: s.Name, Address: s.Mesh, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
 		o(r)
 	}
 	if s.HoldMost > 0 {
-		r.hold = min(r.hold, s.HoldMost)
+		r.grantTTL = min(r.grantTTL, s.HoldMost)
 	}
-	r.links.names = sp.Names()
+	r.clientPool.names = p.Names()
 	r.burn = burn.New(r.now())
 	r.gaps = gaps.New()
 	seed := seedOf(r.self)
-	r.gate = admit.NewLimiter(seed)
+	r.admission = admit.NewLimiter(seed)
 	r.permits.issuer, r.permits.absent, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
-	r.opened.Store(new(make(chan struct{})))
+	r.tableUpdated.Store(new(make(chan struct{})))
 	r.random = rand.New(rand.NewPCG(seed, 23))
-	r.spread = spread.New(seed, r.limits().WithDaemons(1, 0))
+	r.spread = spread.New(seed, r.coldLimits().WithDaemons(1, 0))
 	r.current.Store((&snap{}).withFleet(fleet.New(nil), nil))
-	r.booted, r.boot = make(chan struct{}), boot.New(r.now())
+	r.bootDone, r.boot = make(chan struct{}), boot.New(r.now())
 	r.control = newControl(r, r.now())
 	r.callers = caller.New(r.serve, caller.WithLimits(r.callerLimits))
 	return r
 }
 
-// seedOf is a number of a daemon's own, for what it draws: many start in one moment, as
-// after a loss of power, and must not draw alike.
+// seedOf returns the seed of a daemon's random numbers. It differs between daemons that
+// start at the same moment, as after a power outage.
 func seedOf(m member.Member) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s %d", m.Name, m.Incarnation))
 }
 
-// Run serves until the context ends, then stops without cutting a request.
+// Run serves until the context ends, then shuts down without interrupting running requests.
 func (r *Router) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", r.settings.Callers)
 	if err != nil {
 		return &Error{Op: "listen for callers", Kind: Address, Err: err}
 	}
-	if r.mesh, err = mesh.Listen(r.settings.Mesh, r.answerMesh); err != nil {
+	if r.mesh, err = mesh.Listen(r.settings.Mesh, r.handleMeshCall); err != nil {
 		return &Error{Op: "listen for daemons", Kind: Address, Err: err}
 	}
-	side, err := r.sideListeners()
+	servers, err := r.startHTTPServers()
 	if err != nil {
 		return err
 	}
@@ -160,10 +160,10 @@
 	r.tomb.Go(func() error { return r.callers.Serve(l) })
 	r.tomb.Go(r.loop)
 	for _, kind := range news.Kinds {
-		r.tomb.Go(func() error { return r.follow(kind) })
+		r.tomb.Go(func() error { return r.readKind(kind) })
 	}
 	r.tomb.Go(r.register)
-	close(r.running)
+	close(r.listening)
 	select {
 	case <-ctx.Done():
 	case <-r.tomb.Dying():
@@ -174,54 +174,54 @@
 	} else {
 		r.stop(l)
 	}
-	for _, s := range side {
+	for _, s := range servers {
 		_ = s.Close()
 	}
 	return r.tomb.Wait()
 }
 
-// Reload puts in force what of other settings can be changed while the daemon
-// runs, and names what cannot.
+// Reload applies the settings that can be changed while the daemon runs, and logs a
+// warning if others differ as well.
 func (r *Router) Reload(next setup.Settings) {
-	now := r.settings
-	if next.Name != now.Name || next.DataCentre != now.DataCentre || next.Callers != now.Callers || next.Ready != now.Ready || next.Mesh != now.Mesh {
-		r.log.Warn("settings: name, data centre and addresses change at the next start only")
+	current := r.settings
+	if next.Name != current.Name || next.DataCentre != current.DataCentre || next.Callers != current.Callers || next.Ready != current.Ready || next.Mesh != current.Mesh {
+		r.log.Warn("settings: changes of name, data centre and addresses need a restart")
 	}
 	r.post(settingsMsg{settings: next})
 }
 
-// Abort breaks all connections and ends the daemon, as the loss of its host
-// would. Tests and the demo use it.
+// Abort closes all connections and ends the daemon, as the loss of its host would. It is
+// meant for tests and the demo.
 func (r *Router) Abort() {
-	<-r.running
+	<-r.listening
 	r.aborted.Store(true)
 	r.tomb.Kill(nil)
 	r.callers.Abort()
 	_ = r.mesh.Close()
-	r.links.close()
+	r.clientPool.close()
 }
 
-// stop ends in four steps: not ready, so that no new connections come; answers
-// announce the close; the listener and idle connections close; the rest is
-// answered.
+// stop shuts down in four steps: the daemon reports that it is not ready, so that the load
+// balancer sends no new connections; responses announce the close of their connections;
+// the listener and idle connections are closed; running requests are answered.
 func (r *Router) stop(l net.Listener) {
-	began := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(r.settings.Grace-exitMargin))
+	startedAt := time.Now()
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(r.settings.Grace-shutdownMargin))
 	defer cancel()
 	r.log.Info("router: stop", "running", r.callers.Running())
 	r.ready.Store(false)
 	r.callers.Stop()
 	r.post(leavingMsg{})
-	sleep(ctx, lingerAfter)
+	sleep(ctx, shutdownAcceptTime)
 	_ = l.Close()
 	r.callers.Finish(ctx)
-	r.log.Info("router: stopped", "running", r.callers.Running(), "took", time.Since(began).String())
+	r.log.Info("router: stopped", "running", r.callers.Running(), "took", time.Since(startedAt).String())
 	r.tomb.Kill(nil)
 	_ = r.mesh.Close()
-	r.links.close()
+	r.clientPool.close()
 }
 
-// post hands a message to the control loop; false means that the router stops.
+// post sends a message to the control loop. It returns false if the router is stopping.
 func (r *Router) post(m any) bool {
 	select {
 	case r.inbox <- m:
@@ -232,7 +232,7 @@
 }
 
 func (r *Router) loop() error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -246,13 +246,14 @@
 	}
 }
 
-// register makes this daemon known, once the store can be written to.
+// register stores this daemon's name and address, so that other daemons discover it. It
+// retries until the store accepts the write.
 func (r *Router) register() error {
 	value, err := json.Marshal(r.self)
 	if err != nil {
 		return err
 	}
-	revision, pause := uint64(0), backoffLeast
+	revision, backoff := uint64(0), minBackoff
 	for r.tomb.Alive() {
 		ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
 		item, err := r.store.Save(ctx, news.Daemons, r.self.Name, value, revision)
@@ -266,40 +267,40 @@
 			revision = item.Revision
 			continue
 		}
-		r.log.Warn("store: daemon not registered", "err", err)
-		sleep(r.tomb.Context(context.Background()), pause)
-		pause = min(2*pause, backoffMost)
+		r.log.Warn("store: could not register daemon", "err", err)
+		sleep(r.tomb.Context(context.Background()), backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
-// burst is this daemon's share of the repeats that may come at once. A daemon
-// that knows no other takes one.
-func (r *Router) burst() float64 {
-	if r.daemons < 2 {
+// retryBurst is this daemon's share of the burst of retries that all daemons may send
+// together. It is 1 for a daemon that knows no other.
+func (r *Router) retryBurst() float64 {
+	if r.daemonCount < 2 {
 		return 1
 	}
-	return max(1, r.bounds.RetryBurst*retryMargin/float64(r.daemons))
+	return max(1, r.latestSettings.RetryBurst*retryUtilisation/float64(r.daemonCount))
 }
 
-// retryShare is the share of extra attempts that the configuration allows, or
-// the settings where it names none.
+// retryShare is the allowed ratio of retries to requests: the configuration's, or the
+// settings' if the configuration has none.
 func (r *Router) retryShare() float64 {
 	if share := r.current.Load().config.RetryShare; share > 0 {
 		return share
 	}
-	return r.bounds.RetryShare
+	return r.latestSettings.RetryShare
 }
 
-func (r *Router) limits() spread.Limits {
-	return spread.Limits{ColdFactor: r.bounds.ColdFactor, ColdSlack: r.bounds.ColdSlack}
+func (r *Router) coldLimits() spread.Limits {
+	return spread.Limits{ColdFactor: r.latestSettings.ColdFactor, ColdSlack: r.latestSettings.ColdSlack}
 }
 
 func (r *Router) callerLimits() caller.Limits {
 	l := r.current.Load().config.Limits
 	out := caller.Limits{HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes, Header: l.HeaderTimeout, Idle: l.IdleTimeout}
 	if out.HeaderBytes <= 0 {
-		out = caller.Limits{HeaderBytes: headerMost, BodyBytes: bodyMost, Header: headerWithin, Idle: idleMost}
+		out = caller.Limits{HeaderBytes: defaultMaxHeaderBytes, BodyBytes: defaultMaxBodyBytes, Header: defaultHeaderTimeout, Idle: defaultIdleTimeout}
 		if r.settings.BodyMost > 0 {
 			out.BodyBytes = r.settings.BodyMost
 		}
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -44,7 +44,7 @@
 // Guards against a booking whose holder cannot tell that it was sent before, and against one that is refused although it never was.
 func TestAgeOfABooking(t *testing.T) {
 	Convey("It goes with what was sent before and may have run", t, func() {
-		r := still()
+		r := newTestRouter()
 		r.ends(booked("a"), nil, errBroken)
 		So(r.tells("a"), ShouldBeTrue)
 		So(r.tells("other"), ShouldBeFalse)
@@ -54,7 +54,7 @@
 		So(elsewhere.Header.Get(names.Default().FirstSent), ShouldBeEmpty)
 	})
 	Convey("What surely did not run was not sent, unless an earlier attempt may have run", t, func() {
-		r := still()
+		r := newTestRouter()
 		r.ends(booked("a"), nil, errNotSent)
 		r.ends(booked("b"), &link.Answer{NotRun: true}, nil)
 		r.ends(booked("c"), nil, errBroken)
@@ -64,7 +64,7 @@
 		So(r.tells("c"), ShouldBeTrue)
 	})
 	Convey("A copy that did not run takes nothing away from another one that may have", t, func() {
-		r := still()
+		r := newTestRouter()
 		refused, ran := booked("a"), booked("a")
 		first, again := r.noteSent(refused)
 		later, laterAgain := r.noteSent(ran)
@@ -73,7 +73,7 @@
 		So(r.tells("a"), ShouldBeTrue)
 	})
 	Convey("A caller may know of an earlier time", t, func() {
-		r, o := still(), booked("a")
+		r, o := newTestRouter(), booked("a")
 		o.Header.Set(names.Default().FirstSent, "60000")
 		r.noteSent(o)
 		So(o.Header.Get(names.Default().FirstSent), ShouldEqual, "60001")
@@ -82,11 +82,11 @@
 
 // lastRefusal is a protocol that keeps the last refusal.
 type lastRefusal struct {
-	mute
+	stubProtocol
 	was *caller.Refusal
 }
 
-func (l lastRefusal) Refused(f caller.Refusal) (http.Header, []byte) {
+func (l lastRefusal) RefusalResponse(f caller.Refusal) (http.Header, []byte) {
 	*l.was = f
 	return http.Header{}, nil
 }
@@ -94,7 +94,7 @@
 // Guards against a caller that books anew under another id, since the refusal of a later try says "not run".
 func TestRefusalOfALaterTry(t *testing.T) {
 	Convey("It says that the booking may have run", t, func() {
-		r, was := still(), caller.Refusal{}
+		r, was := newTestRouter(), caller.Refusal{}
 		r.protocol = lastRefusal{was: &was}
 		refused := func(id string) caller.Refusal {
 			reply := r.giveUp(booked(id), spread.Choice{}, string(moving), time.Second)
@@ -114,7 +114,7 @@
 // Guards against a second run by way of a daemon that never saw the booking.
 func TestOtherDaemonsLearnOfUnansweredBookings(t *testing.T) {
 	Convey("What may have run without an answer is passed on, what was answered is not", t, func() {
-		r, other := still(), still()
+		r, other := newTestRouter(), newTestRouter()
 		r.ends(booked("a"), nil, errBroken)
 		r.ends(booked("b"), &link.Answer{Status: http.StatusOK}, nil)
 		r.ends(booked("c"), nil, errNotSent)
@@ -125,13 +125,13 @@
 		So(other.tells("a"), ShouldBeTrue)
 		So(other.sentNews(), ShouldHaveLength, 1) // it goes on from there
 		Convey("once", func() {
-			other.unanswered = recent[firstSent]{}
+			other.recentUnanswered = recent[firstSent]{}
 			other.heardOfSent([]*wire.Sent{{Id: found[0].Id, AgoMillis: 800}})
 			So(other.sentNews(), ShouldBeEmpty)
 		})
 	})
 	Convey("Also when its caller left before the answer", t, func() {
-		r := still()
+		r := newTestRouter()
 		ctx, leave := context.WithCancel(context.Background())
 		first, again := r.noteSent(booked("a"))
 		leave()
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -83,7 +83,7 @@
 	s := r.current.Load()
 	id := r.protocol.ID(q.Header)
 	if !s.configured {
-		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, After: notReadyRetry}, "")
+		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, After: notReadyRetryDelay}, "")
 	}
 	o, bad := r.understand(s, q, id)
 	if bad != nil {
@@ -114,7 +114,7 @@
 	o := &order{Request: q, id: id, route: route, key: -1, target: strings.TrimPrefix(q.RequestURI, route.StripPrefix)}
 	o.service, _ = s.config.Service(route.PickService(r.draw()))
 	o.deadline = q.Read.Add(route.Timeout)
-	if patience, ok := r.protocol.Patience(q.Header); ok && patience < route.Timeout {
+	if patience, ok := r.protocol.CallerTimeout(q.Header); ok && patience < route.Timeout {
 		o.deadline = q.Read.Add(patience)
 	}
 	if o.service.Keyed {
@@ -135,7 +135,7 @@
 func (r *Router) answer(o *order, a *link.Answer) caller.Reply {
 	h := a.Header
 	h.Del(r.protocol.Names().Load)
-	r.protocol.Answered(h, o.id, a.Server)
+	r.protocol.AddResponseHeaders(h, o.id, a.Server)
 	return caller.Reply{Status: a.Status, Header: h, Body: a.Body}
 }
 
@@ -162,12 +162,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o.key >= 0 {
-		k := heatKey{service: o.service.Name, bucket: uint32(keeper.Bucket(o.key))}
-		r.heat[k] = r.heat[k].with(1, r.spread.TypicalTime(o.need), o.route.LatencyTarget)
+		k := bucketKey{service: o.service.Name, bucket: uint32(keeper.Bucket(o.key))}
+		r.bucketLoads[k] = r.bucketLoads[k].with(1, r.spread.TypicalTime(o.need), o.route.LatencyTarget)
 	}
 	b := r.budgets[o.service.Name]
 	if b == nil {
-		b = retry.NewBudget(r.retryShare()*retryMargin, int(r.burst()))
+		b = retry.NewBudget(r.retryShare()*retryUtilisation, int(r.retryBurst()))
 		r.budgets[o.service.Name] = b
 	}
 	b.Deposit()
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -37,7 +37,7 @@
 // Guards against counts by which no server would lose anything.
 func TestCountsBearWorkAndAim(t *testing.T) {
 	Convey("Each request adds its work and its aim", t, func() {
-		r := still()
+		r := newTestRouter()
 		o := &order{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
 			need: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
 		r.count(o)
@@ -53,8 +53,8 @@
 // Guards against a lookup that is refused as if its key moved, since its first answer was lost.
 func TestHolderIsAskedAgain(t *testing.T) {
 	Convey("The holder of a key stays the choice after an answer that was lost", t, func() {
-		r := still()
-		r.serversAt(second(1), 10, entryOf("a", 5))
+		r := newTestRouter()
+		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{
 			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", StartMillis: 1, Address: "a"}}}}}}))
 		now := time.Now()
@@ -82,7 +82,7 @@
 // Guards against a request that goes on crashing servers, the same one or the next.
 func TestCrashesAreHeeded(t *testing.T) {
 	crashed := func(servers ...string) (*Router, *order) {
-		r, o := still(), lookup(time.Second)
+		r, o := newTestRouter(), lookup(time.Second)
 		o.route.MaxAttempts = 9
 		for _, s := range servers {
 			r.lost(o, s)
@@ -106,21 +106,21 @@
 // Guards against a new leader that takes slowed holders for usual ones until they answer again.
 func TestNewLeaderLearnsThePaces(t *testing.T) {
 	Convey("Each server is reported once, and what is new after that", t, func() {
-		r := still()
+		r := newTestRouter()
 		leads := func(epoch uint64) {
 			r.current.Store(r.current.Load().withConfig(config.Config{Services: []config.Service{{Name: "s", Keyed: true}}}).withTable(grant.Table{Epoch: epoch}))
 		}
 		leads(1)
-		r.serversAt(second(1), 10, entryOf("a", 5))
+		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		v, _ := r.current.Load().fleet.Find("a")
 		n := spread.Requirements{Route: "look", Aim: time.Second, LocalDataCentre: "x"}
 		r.spread.Begin(t0, v, n)
 		r.spread.End(t0, v, n, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
 		slow := func(at float64) bool {
-			r.control.heats = newHeats()
-			r.control.sendHeat(second(at), true)
-			return r.control.heats.paces.Factors()["a"] > 1
+			r.control.loadStats = newHeats()
+			r.control.sendHeat(atSecond(at), true)
+			return r.control.loadStats.paces.Factors()["a"] > 1
 		}
 		So(slow(10), ShouldBeTrue)
 		So(slow(20), ShouldBeFalse)
--- /dev/null
+++ b/io/process/router/servers_test.go
@@ -0,0 +1,46 @@
+package router
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"catkinstep/core/version/news"
+)
+
+// Guards against a log line from every daemon for every server, which would crowd out the
+// lines about requests.
+func TestServerChangesAreLoggedTogether(t *testing.T) {
+	Convey("Hundreds of servers that are added or removed together are logged in one line", t, func() {
+		var logged bytes.Buffer
+		r := newTestRouter()
+		r.log = slog.New(slog.NewJSONHandler(&logged, nil))
+		var added, removed []news.Item
+		for i := range 540 {
+			id := fmt.Sprintf("s%d", i)
+			added = append(added, serverItem(id, uint64(i+1)))
+			removed = append(removed, news.Item{Name: id, Revision: uint64(1000 + i), Removed: true})
+		}
+		r.updateServers(atSecond(1), 600, added...)
+		So(r.current.Load().fleet.All(), ShouldHaveLength, 540)
+		r.updateServers(atSecond(2), 2000, removed...)
+		So(r.current.Load().fleet.All(), ShouldBeEmpty)
+		So(strings.Count(logged.String(), `"msg":"servers: `), ShouldEqual, 2)
+		So(logged.String(), ShouldContainSubstring, `"came":540`)
+		So(logged.String(), ShouldContainSubstring, `"gone":540`)
+	})
+	Convey("The daemon that read the store logs a line for each server", t, func() {
+		var logged bytes.Buffer
+		r := newTestRouter()
+		r.log = slog.New(slog.NewJSONHandler(&logged, nil))
+		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
+		r.control.update(atSecond(2), deltaMsg{fromStore: true, delta: news.Delta{Kind: news.Servers, Through: 20, CurrentAt: atSecond(2),
+			Items: []news.Item{{Name: "a", Revision: 15, Removed: true}, serverItem("c", 16)}}})
+		So(logged.String(), ShouldContainSubstring, `"msg":"servers: gone","server":"a"`)
+		So(logged.String(), ShouldContainSubstring, `"msg":"servers: entry","server":"c"`)
+	})
+}
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -12,54 +12,55 @@
 	"catkinstep/core/process/burn"
 )
 
-// Status is what the fleet has in force.
+// Status is the status of all known daemons.
 type Status struct {
 	Daemons []DaemonStatus
-	// Missing are addresses of daemons that did not answer.
+	// Missing holds the addresses of daemons that did not answer.
 	Missing []string
 }
 
-// DaemonStatus is what one daemon has in force.
+// DaemonStatus is the status of one daemon.
 type DaemonStatus struct {
 	Name, DataCentre string
-	// Leader is the daemon that grants keys, as this one knows it.
+	// Leader is the name of the daemon that grants keys, as far as this one knows.
 	Leader string
 	// Config is the version of the configuration in force.
 	Config uint64
-	// Reaches tells whether the store answered it within the last seconds.
-	Reaches  bool
-	Stopping bool
-	Counts   burn.Counts
+	// StoreReachable reports whether the daemon got data from the store within the last
+	// seconds, directly or by way of other daemons.
+	StoreReachable bool
+	Stopping       bool
+	Counts         burn.Counts
 }
 
-// status is a daemon's own, with the addresses of the others.
-type status struct {
-	own    *wire.StatusReply
-	others []string
+// daemonStatus is a daemon's own status, with the addresses of the other daemons.
+type daemonStatus struct {
+	own   *wire.StatusReply
+	peers []string
 }
 
-// Fleet asks all known daemons at once what they have in force.
-func (r *Router) Fleet(ctx context.Context) Status {
+// ClusterStatus requests the status of all known daemons, concurrently.
+func (r *Router) ClusterStatus(ctx context.Context) Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	own, ok := r.ownStatus(ctx)
 	if !ok {
 		return Status{Missing: []string{r.self.Address}}
 	}
-	out := Status{Daemons: []DaemonStatus{r.readStatus(own.own)}}
+	out := Status{Daemons: []DaemonStatus{r.decodeStatus(own.own)}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, address := range own.others {
+	for _, address := range own.peers {
 		wg.Go(func() {
 			reply, err := r.call(ctx, address, &wire.Call{Kind: &wire.Call_Status{Status: &wire.Status{}}})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil || reply.GetStatus() == nil {
-				r.log.Info("status: no answer", "daemon", address, "err", err)
+				r.log.Info("status: daemon did not answer", "daemon", address, "err", err)
 				out.Missing = append(out.Missing, address)
 				return
 			}
-			out.Daemons = append(out.Daemons, r.readStatus(reply.GetStatus()))
+			out.Daemons = append(out.Daemons, r.decodeStatus(reply.GetStatus()))
 		})
 	}
 	wg.Wait()
@@ -68,41 +69,42 @@
 	return out
 }
 
-func (r *Router) ownStatus(ctx context.Context) (status, bool) {
-	reply := make(chan status, 1)
+func (r *Router) ownStatus(ctx context.Context) (daemonStatus, bool) {
+	reply := make(chan daemonStatus, 1)
 	if !r.post(statusMsg{reply: reply}) {
-		return status{}, false
+		return daemonStatus{}, false
 	}
 	select {
 	case s := <-reply:
 		return s, true
 	case <-ctx.Done():
-		return status{}, false
+		return daemonStatus{}, false
 	}
 }
 
-// reachedWithin is how long ago the store may have answered a daemon that is
-// said to reach it. Daemons that do not read it themselves learn from others.
-const reachedWithin = 10 * time.Second
+// storeReachableWindow is how old a daemon's newest data from the store may be for the
+// store to count as reachable. Daemons that do not read the store receive its data from
+// other daemons.
+const storeReachableWindow = 10 * time.Second
 
-func (r *Router) readStatus(s *wire.StatusReply) DaemonStatus {
+func (r *Router) decodeStatus(s *wire.StatusReply) DaemonStatus {
 	out := DaemonStatus{Name: s.Daemon, DataCentre: s.DataCentre, Leader: s.Leader, Config: s.Config, Stopping: s.Stopping,
-		Reaches: s.StoredAgeMillis >= 0 && time.Duration(s.StoredAgeMillis)*time.Millisecond < reachedWithin}
+		StoreReachable: s.StoredAgeMillis >= 0 && time.Duration(s.StoredAgeMillis)*time.Millisecond < storeReachableWindow}
 	if err := json.Unmarshal(s.Counters, &out.Counts); err != nil {
-		r.log.Warn("status: counters not readable", "daemon", s.Daemon, "err", err)
+		r.log.Warn("status: could not decode counters", "daemon", s.Daemon, "err", err)
 	}
 	return out
 }
 
-// status describes this daemon.
-func (c *control) status(now time.Time) status {
+// status returns the status of this daemon.
+func (c *control) status(now time.Time) daemonStatus {
 	s := c.r.current.Load()
 	c.r.mu.Lock()
 	counts := c.r.burn.Counts(now, c.r.self.DataCentre)
 	c.r.mu.Unlock()
 	counters, err := json.Marshal(counts)
 	if err != nil {
-		c.r.log.Error("status: counters not written", "err", err)
+		c.r.log.Error("status: could not encode counters", "err", err)
 	}
 	newest := c.members.LastStoreResponse()
 	for _, cache := range c.caches {
@@ -111,25 +113,25 @@
 		}
 	}
 	own := &wire.StatusReply{Daemon: c.r.self.Name, DataCentre: c.r.self.DataCentre, Leader: s.table.Leader.Daemon,
-		StoredAgeMillis: age(now, newest), Config: s.config.Version, Stopping: c.leaving, Counters: counters}
-	return status{own: own, others: c.members.AllPeers(now)}
+		StoredAgeMillis: ageMillis(now, newest), Config: s.config.Version, Stopping: c.leaving, Counters: counters}
+	return daemonStatus{own: own, peers: c.members.AllPeers(now)}
 }
 
-// Ready tells whether callers should be sent here.
+// Ready reports whether this daemon should get requests.
 func (r *Router) Ready() bool { return r.ready.Load() }
 
-// ControlBytes is what messages between daemons took so far, out and in.
+// ControlBytes is the total size of the messages between daemons so far, sent and received.
 func (r *Router) ControlBytes() int64 { return r.meters.controlBytes() }
 
-// Leading tells whether this daemon grants keys, as far as it knows.
-func (r *Router) Leading() bool {
+// IsLeader reports whether this daemon is the leader, as far as it knows.
+func (r *Router) IsLeader() bool {
 	l := r.current.Load().table.Leader
 	return l.Daemon == r.self.Name && l.Incarnation == r.self.Incarnation
 }
 
-// Settled tells whether every key has a holder that takes requests, as far as
-// this daemon knows.
-func (r *Router) Settled() bool {
+// AllRangesOpen reports whether there is a configuration and every key has a holder that
+// accepts requests, as far as this daemon knows.
+func (r *Router) AllRangesOpen() bool {
 	s := r.current.Load()
 	for _, service := range s.keyed() {
 		shares := 0
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -106,7 +106,7 @@
 // Leads tells whether an entry host's daemon grants keys.
 func (r *Stage) Leads(i int) bool {
 	d := r.Daemon(i)
-	return d != nil && d.Leading()
+	return d != nil && d.IsLeader()
 }
 
 // ControlBytes returns the bytes of control messages of a daemon so far, out and
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -205,7 +205,7 @@
 
 func (r *Stage) settled() bool {
 	for _, h := range r.live() {
-		if !h.daemon.Ready() || !h.daemon.Settled() {
+		if !h.daemon.Ready() || !h.daemon.AllRangesOpen() {
 			return false
 		}
 	}
