--- a/io/process/router/mesh.go
+++ b/io/process/router/mesh.go
@@ -44,8 +44,8 @@
 			return &wire.Reply{Error: "stopping"}
 		}
 		select {
-		case h := <-reply:
-			return &wire.Reply{Gossip: h}
+		case g := <-reply:
+			return &wire.Reply{Gossip: g}
 		case <-ctx.Done():
 		}
 	case *wire.Call_Fetch:
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -79,7 +79,7 @@
 // history of changes, and otherwise waits for changes. The very first list may be stale:
 // later changes arrive with the first watch, or with the gossip of daemons that started
 // earlier. A stale list costs the store little, and the lists of daemons that start at the
-// same time are most of the load on the store within an hour. After a failed call
+// same time are most of the requests to the store in an hour. After a failed call
 // (storeUp is false) the store may be down, and a long watch that began then would receive
 // nothing even once the store is back, so a short watch comes first.
 func (r *Router) listOrWatch(ctx context.Context, kind news.Kind, listed, storeUp bool) (news.Delta, error) {
