--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -63,12 +63,12 @@
 	spread  *spread.Balancer
 	budgets map[string]*retry.Budget
 	// suspects are requests during which servers were lost.
-	suspects       *crash.Suspects
-	recentSuspects recent[*wire.Suspect]
+	suspects      *crash.Suspects
+	suspectBuffer recent[*wire.Suspect]
 	// sent holds the ids of requests that must not run twice, and recentUnanswered those
 	// that may have run without an answer and that other daemons must learn of.
 	sent             *sent.History
-	recentUnanswered recent[firstSent]
+	unansweredBuffer recent[firstSent]
 	burn             *burn.Meter
 	// gaps estimates how long ranges stay closed.
 	gaps      *gaps.Estimator
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -79,7 +79,7 @@
 	if !unanswered {
 		return
 	}
-	if !r.recentUnanswered.add(time.Now(), f) {
+	if !r.unansweredBuffer.add(time.Now(), f) {
 		r.meters.add("sent.notPassedOn")
 		return
 	}
@@ -94,7 +94,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var out []*wire.Sent
-	for _, f := range r.recentUnanswered.list(now) {
+	for _, f := range r.unansweredBuffer.list(now) {
 		out = append(out, &wire.Sent{Id: f.hash, AgoMillis: uint32(now.Sub(f.at).Milliseconds())})
 	}
 	return out
@@ -111,7 +111,7 @@
 	now := time.Now()
 	for _, s := range news {
 		at := now.Add(-millis(s.AgoMillis))
-		if r.sent.RecordAt(now, s.Id, at) && !r.recentUnanswered.add(now, firstSent{hash: s.Id, at: at}) {
+		if r.sent.RecordAt(now, s.Id, at) && !r.unansweredBuffer.add(now, firstSent{hash: s.Id, at: at}) {
 			r.meters.add("sent.notPassedOn")
 		}
 	}
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -125,7 +125,7 @@
 		So(other.tells("a"), ShouldBeTrue)
 		So(other.sentNews(), ShouldHaveLength, 1) // it goes on from there
 		Convey("once", func() {
-			other.recentUnanswered = recent[firstSent]{}
+			other.unansweredBuffer = recent[firstSent]{}
 			other.heardOfSent([]*wire.Sent{{Id: found[0].Id, AgoMillis: 800}})
 			So(other.sentNews(), ShouldBeEmpty)
 		})
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -35,7 +35,7 @@
 	if !r.suspects.RecordLoss(now, o.print, server) {
 		return
 	}
-	r.recentSuspects.add(now, &wire.Suspect{Fingerprint: o.print, Servers: []string{server}})
+	r.suspectBuffer.add(now, &wire.Suspect{Fingerprint: o.print, Servers: []string{server}})
 	if r.suspects.ShouldRefuse(now, o.print) {
 		go r.post(urgentChangeMsg{}) // not to wait under the lock
 	}
@@ -61,7 +61,7 @@
 func (r *Router) suspectNews() []*wire.Suspect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.recentSuspects.list(time.Now())
+	return r.suspectBuffer.list(time.Now())
 }
 
 // heardOfLosses takes in what another daemon found, and passes on what is new. It
@@ -77,7 +77,7 @@
 		if !r.suspects.RecordLoss(now, s.Fingerprint, s.Servers...) {
 			continue
 		}
-		r.recentSuspects.add(now, s)
+		r.suspectBuffer.add(now, s)
 		refused = refused || r.suspects.ShouldRefuse(now, s.Fingerprint)
 	}
 	return refused
