--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -21,7 +21,7 @@
 		if ctx.Err() != nil {
 			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerLeft)
 		}
-		tableChanged := *r.opened.Load()
+		tableChanged := *r.tableUpdated.Load()
 		server, choice := r.chooseServer(req)
 		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableChanged) {
 			continue
@@ -124,10 +124,10 @@
 	if !req.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	timeLeft := time.Until(req.deadline) - wayBack
-	ctx, cancel := context.WithDeadline(ctx, req.deadline.Add(answerMargin))
+	timeLeft := time.Until(req.deadline) - responseTransitTime
+	ctx, cancel := context.WithDeadline(ctx, req.deadline.Add(responseMargin))
 	defer cancel()
-	a, err := r.links.of(server).Do(ctx, link.Request{
+	a, err := r.clientPool.requestClient(server).Do(ctx, link.Request{
 		Method: req.Method, Target: req.target, Host: req.Host, Header: r.forwardedHeader(req), Body: req.Body, ID: req.id, TimeLeft: timeLeft,
 	})
 	now := time.Now()
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -12,15 +12,15 @@
 // a limited time.
 func (r *Router) awaitBoot(ctx context.Context, callerReq caller.Request) {
 	select {
-	case <-r.booted:
+	case <-r.bootDone:
 		return
 	default:
 	}
-	callerTimeout, _ := r.protocol.Patience(callerReq.Header)
+	callerTimeout, _ := r.protocol.CallerTimeout(callerReq.Header)
 	timer := time.NewTimer(r.boot.MaxWait(r.now(), callerTimeout))
 	defer timer.Stop()
 	select {
-	case <-r.booted:
+	case <-r.bootDone:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -30,11 +30,11 @@
 // releases the waiting requests.
 func (c *control) recordLoaded(now time.Time, kind news.Kind) {
 	select {
-	case <-c.r.booted:
+	case <-c.r.bootDone:
 		return
 	default:
 	}
 	if c.boot = c.boot.WithLoaded(kind); c.boot.Done(now) {
-		close(c.r.booted)
+		close(c.r.bootDone)
 	}
 }
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -25,7 +25,7 @@
 		return ok && server.StartMillis == holder.StartMillis
 	})
 	r.mu.Unlock()
-	close(*r.opened.Swap(new(make(chan struct{}))))
+	close(*r.tableUpdated.Swap(new(make(chan struct{}))))
 }
 
 // closedRangeChoice refuses a request whose range is closed. The refusal asks the caller to
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -33,11 +33,11 @@
 // routerAfterMoves returns a router that has seen several moves of a range, each of which
 // closed it for the given time.
 func routerAfterMoves(closedFor time.Duration) *Router {
-	r := still()
-	r.now = func() time.Time { return second(100) }
-	r.serversAt(second(1), 10, entryOf("a", 5), entryOf("b", 6))
+	r := newTestRouter()
+	r.now = func() time.Time { return atSecond(100) }
+	r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
 	for i := range 9 {
-		closedAt := second(float64(2 + 10*i))
+		closedAt := atSecond(float64(2 + 10*i))
 		r.control.applyTable(closedAt, tableWithRange(uint64(2*i+1), true))
 		r.control.applyTable(closedAt.Add(closedFor), tableWithRange(uint64(2*i+2), false))
 	}
@@ -49,15 +49,15 @@
 func TestRetryAfterOfClosedRanges(t *testing.T) {
 	Convey("During a planned move, callers retry after the usual duration of a move", t, func() {
 		r := routerAfterMoves(900 * time.Millisecond)
-		r.control.applyTable(second(100), tableWithRange(90, true))
+		r.control.applyTable(atSecond(100), tableWithRange(90, true))
 		_, choice := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
 		So(choice.Reason, ShouldEqual, reasonKeyMoving)
 		So(choice.RetryAfter, ShouldEqual, 900*time.Millisecond)
 	})
 	Convey("After the loss of a holder, callers retry when its grant has expired", t, func() {
-		r := still()
-		r.now = func() time.Time { return second(100) }
-		r.control.applyTable(second(100), tableWithRange(90, true))
+		r := newTestRouter()
+		r.now = func() time.Time { return atSecond(100) }
+		r.control.applyTable(atSecond(100), tableWithRange(90, true))
 		_, choice := r.chooseHolder(r.current.Load(), lookupRequest(time.Second), time.Now())
 		So(choice.RetryAfter, ShouldBeGreaterThan, 2*time.Second)
 	})
@@ -68,7 +68,7 @@
 func TestAwaitRangeOpen(t *testing.T) {
 	start := func(targetLatency time.Duration) (*Router, *request, spread.Choice) {
 		r := routerAfterMoves(100 * time.Millisecond)
-		r.control.applyTable(second(100), tableWithRange(90, true))
+		r.control.applyTable(atSecond(100), tableWithRange(90, true))
 		req := lookupRequest(targetLatency)
 		_, choice := r.chooseHolder(r.current.Load(), req, time.Now())
 		return r, req, choice
@@ -76,20 +76,20 @@
 	Convey("A request with enough time waits, and proceeds once the range is open", t, func() {
 		r, req, choice := start(time.Minute)
 		So(choice.Reason, ShouldEqual, reasonKeyMoving)
-		changed := *r.opened.Load()
-		r.control.applyTable(second(100.1), tableWithRange(91, false))
+		changed := *r.tableUpdated.Load()
+		r.control.applyTable(atSecond(100.1), tableWithRange(91, false))
 		So(r.awaitRangeOpen(context.Background(), req, changed), ShouldBeTrue)
 		_, choice = r.chooseHolder(r.current.Load(), req, time.Now())
 		So(choice.Refused(), ShouldBeFalse)
 	})
 	Convey("A request that could not be answered within its target latency does not wait", t, func() {
 		r, req, _ := start(120 * time.Millisecond)
-		So(r.awaitRangeOpen(context.Background(), req, *r.opened.Load()), ShouldBeFalse)
+		So(r.awaitRangeOpen(context.Background(), req, *r.tableUpdated.Load()), ShouldBeFalse)
 	})
 	Convey("The wait ends when the caller leaves", t, func() {
 		r, req, _ := start(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(r.awaitRangeOpen(ctx, req, *r.opened.Load()), ShouldBeFalse)
+		So(r.awaitRangeOpen(ctx, req, *r.tableUpdated.Load()), ShouldBeFalse)
 	})
 }
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -21,15 +21,15 @@
 // report goes to a relay of the data centre and from there to the leader, which receives
 // one message per relay instead of one per daemon.
 func (c *control) sendCounts(now time.Time, isRelay bool) {
-	if now.Sub(c.counts.sentAt) < heatEvery {
+	if now.Sub(c.lastCountReport.sentAt) < loadReportInterval {
 		return
 	}
-	message := c.gossipNow(now)
-	previous := c.counts
-	c.counts = countReport{sentAt: now, leaderEpoch: c.r.current.Load().table.Epoch}
-	message.Heat, message.Paces = c.r.takeCounts(previous.relayedStats, c.counts.leaderEpoch != previous.leaderEpoch)
+	message := c.newGossip(now)
+	previous := c.lastCountReport
+	c.lastCountReport = countReport{sentAt: now, leaderEpoch: c.r.current.Load().table.Epoch}
+	message.Heat, message.Paces = c.r.takeCounts(previous.relayedStats, c.lastCountReport.leaderEpoch != previous.leaderEpoch)
 	if c.keeper != nil {
-		c.heats.add(message)
+		c.loadStats.add(message)
 		return
 	}
 	target := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
@@ -50,10 +50,10 @@
 func (c *control) receiveCounts(now time.Time, message *wire.Gossip) {
 	switch {
 	case c.keeper != nil:
-		c.heats.add(message)
+		c.loadStats.add(message)
 	case hasCounts(message) && message.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
 		c.r.addKeyCounts(message.Heat)
-		c.counts.relayedStats = append(c.counts.relayedStats, message.Paces...)
+		c.lastCountReport.relayedStats = append(c.lastCountReport.relayedStats, message.Paces...)
 	}
 }
 
@@ -62,8 +62,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range keyCounts {
-		k := heatKey{service: x.Service, bucket: x.Bucket}
-		r.heat[k] = r.heat[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
+		k := bucketKey{service: x.Service, bucket: x.Bucket}
+		r.bucketLoads[k] = r.bucketLoads[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
 	}
 }
 
@@ -74,11 +74,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var keyCounts []*wire.Heat
-	for k, count := range r.heat {
+	for k, count := range r.bucketLoads {
 		keyCounts = append(keyCounts, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: count.requests,
-			WorkMillis: uint32(count.work.Milliseconds()), AimMillis: uint32(count.aim.Milliseconds())})
+			WorkMillis: uint32(count.serviceTime.Milliseconds()), AimMillis: uint32(count.latencyTarget.Milliseconds())})
 	}
-	clear(r.heat)
+	clear(r.bucketLoads)
 	keyed := map[string]bool{}
 	for _, s := range r.current.Load().keyedServices() {
 		keyed[s] = true
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -31,7 +31,7 @@
 
 // toWire returns the message for other daemons.
 func (l holderLimits) toWire(now time.Time) *wire.Limits {
-	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: age(now, l.issuedAt), Contended: l.contended}
+	out := &wire.Limits{Epoch: l.epoch, Seq: l.seq, AgeMillis: ageMillis(now, l.issuedAt), Contended: l.contended}
 	for _, x := range l.bucketLimits {
 		out.Limits = append(out.Limits, &wire.Limit{Service: x.Service, Bucket: uint32(x.Bucket), Part: float32(x.Fraction)})
 	}
@@ -43,7 +43,7 @@
 	if m == nil {
 		return
 	}
-	l := holderLimits{epoch: m.Epoch, seq: m.Seq, issuedAt: ago(now, m.AgeMillis), contended: m.Contended}
+	l := holderLimits{epoch: m.Epoch, seq: m.Seq, issuedAt: timeFromAge(now, m.AgeMillis), contended: m.Contended}
 	for _, x := range m.Limits {
 		l.bucketLimits = append(l.bucketLimits, admit.Limit{Service: x.Service, Bucket: int(x.Bucket), Fraction: float64(x.Part)})
 	}
@@ -64,7 +64,7 @@
 	// Requests use another clock than the control state.
 	issuedAt := time.Now().Add(l.issuedAt.Sub(now))
 	c.r.mu.Lock()
-	c.r.gate.SetLimits(issuedAt, l.bucketLimits)
+	c.r.admission.SetLimits(issuedAt, l.bucketLimits)
 	c.r.permits.setContended(issuedAt, l.contended)
 	c.r.mu.Unlock()
 	var targets []string
@@ -75,12 +75,12 @@
 		targets = append(targets, c.members.RemoteRelays(now)...)
 	}
 	for _, address := range targets {
-		if c.calling[address] {
+		if c.gossipPending[address] {
 			continue // it gets them in the reply to its next gossip
 		}
-		message := c.gossipNow(now)
+		message := c.newGossip(now)
 		message.Limits = l.toWire(now)
-		c.send(address, message)
+		c.startGossip(address, message)
 	}
 }
 
@@ -90,6 +90,6 @@
 	if req.admitted {
 		return 0, true
 	}
-	retryAfter, req.admitted = r.gate.Admit(now, req.service.Name, keeper.Bucket(req.key))
+	retryAfter, req.admitted = r.admission.Admit(now, req.service.Name, keeper.Bucket(req.key))
 	return retryAfter, req.admitted
 }
--- a/io/process/router/limits_test.go
+++ b/io/process/router/limits_test.go
@@ -11,20 +11,20 @@
 
 // limitsRefusingAll returns limits that refuse all requests for a bucket.
 func limitsRefusingAll(epoch, seq uint64) holderLimits {
-	return holderLimits{epoch: epoch, seq: seq, issuedAt: second(100), bucketLimits: []admit.Limit{{Service: "s", Bucket: 0}}}
+	return holderLimits{epoch: epoch, seq: seq, issuedAt: atSecond(100), bucketLimits: []admit.Limit{{Service: "s", Bucket: 0}}}
 }
 
 // Guards against older limits that replace newer ones: daemons forward limits in any order.
 func TestOlderLimitsAreIgnored(t *testing.T) {
 	Convey("The newest limits stay in force", t, func() {
-		r := still()
-		r.control.applyLimits(second(100), holderLimits{epoch: 2, seq: 5, issuedAt: second(100)}, false)
+		r := newTestRouter()
+		r.control.applyLimits(atSecond(100), holderLimits{epoch: 2, seq: 5, issuedAt: atSecond(100)}, false)
 		for _, old := range []holderLimits{limitsRefusingAll(2, 4), limitsRefusingAll(2, 5), limitsRefusingAll(1, 9)} {
-			r.control.applyLimits(second(100), old, false)
+			r.control.applyLimits(atSecond(100), old, false)
 			_, ok := r.admit(lookupRequest(time.Second), time.Now())
 			So(ok, ShouldBeTrue)
 		}
-		r.control.applyLimits(second(100), limitsRefusingAll(2, 6), false)
+		r.control.applyLimits(atSecond(100), limitsRefusingAll(2, 6), false)
 		_, ok := r.admit(lookupRequest(time.Second), time.Now())
 		So(ok, ShouldBeFalse)
 	})
@@ -33,11 +33,11 @@
 // Guards against an admitted request that is refused at random when it is sent again.
 func TestAdmittedRequestStaysAdmitted(t *testing.T) {
 	Convey("A request that was admitted stays admitted", t, func() {
-		r := still()
+		r := newTestRouter()
 		req := lookupRequest(time.Second)
 		_, ok := r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
-		r.control.applyLimits(second(100), limitsRefusingAll(1, 1), false)
+		r.control.applyLimits(atSecond(100), limitsRefusingAll(1, 1), false)
 		_, ok = r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
 	})
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -67,7 +67,7 @@
 // refreshIssuers updates the list of daemons that may issue permits, and expires the permits
 // of requests that have certainly ended.
 func (c *control) refreshIssuers(now time.Time) {
-	if c.due(now, &c.paces.issuers, issuersInterval) {
+	if c.due(now, &c.lastRuns.issuerList, issuersInterval) {
 		liveDaemons := c.members.ReachableAddresses(now)
 		c.r.permits.issuers.Store(&liveDaemons)
 		c.r.mu.Lock()
@@ -163,7 +163,7 @@
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", server.ID, server.StartMillis), ID: r.permits.lastID, Slots: server.Slots,
-		ServiceTime: serviceTime, MaxLatency: r.spread.LatencyBudget(req.requirements) - now.Sub(req.ReadAt), TTL: req.deadline.Sub(now) + answerMargin,
+		ServiceTime: serviceTime, MaxLatency: r.spread.LatencyBudget(req.requirements) - now.Sub(req.ReadAt), TTL: req.deadline.Sub(now) + responseMargin,
 	}, true
 }
 
@@ -188,7 +188,7 @@
 	}
 	askCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := r.askShort(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
+	reply, err := r.callShort(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
 	if err != nil || reply.Permit == nil {
 		r.meters.increment("permits.unanswered")
 		if ctx.Err() == nil { // otherwise the caller left
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -20,11 +20,11 @@
 // contendedRouter returns a router whose only server holds all keys and is contended. The
 // router issues the permits itself.
 func contendedRouter() *Router {
-	r := still()
+	r := newTestRouter()
 	r.self.Address = "me"
 	r.control.members.AddDiscovered(r.self)
-	r.serversAt(second(1), 10, entryOf("a", 5))
-	r.control.applyTable(second(1), tableWithRange(1, false))
+	r.updateServers(atSecond(1), 10, serverItem("a", 5))
+	r.control.applyTable(atSecond(1), tableWithRange(1, false))
 	r.permits.issuers.Store(&map[string][]string{"x": {"me"}})
 	r.control.applyLimits(r.now(), holderLimits{epoch: 1, seq: 1, issuedAt: r.now(), contended: []string{"a"}}, false)
 	return r
@@ -124,8 +124,8 @@
 		for i := range 20 {
 			r.control.members.AddDiscovered(member.Member{Name: fmt.Sprint("d", i), Address: fmt.Sprint("d", i)})
 		}
-		r.control.share()
-		r.serversAt(second(2), 20, entryOf("b", 11), entryOf("c", 12), entryOf("d", 13), entryOf("e", 14))
+		r.control.updateShares()
+		r.updateServers(atSecond(2), 20, serverItem("b", 11), serverItem("c", 12), serverItem("d", 13), serverItem("e", 14))
 		req := lookupRequest(time.Second)
 		req.key, req.service.Keyed, req.requirements.Service = -1, false, config.Service{Name: "s"}
 		for _, server := range r.current.Load().fleet.All() {
@@ -151,7 +151,7 @@
 		_, refused := startRequests(r, 1)
 		So(refused, ShouldBeEmpty)
 		r.permits.issuer.Acquire(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, TTL: time.Second})
-		r.control.refreshIssuers(second(1))
+		r.control.refreshIssuers(atSecond(1))
 		So(r.permits.issuer.Count(), ShouldEqual, 1)
 		So(r.meters.vars.Get("permits.counted").String(), ShouldEqual, "1")
 	})
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -64,6 +64,6 @@
 }
 
 func (r *Router) refusalReply(refusal caller.Refusal) caller.Response {
-	header, body := r.protocol.Refused(refusal)
+	header, body := r.protocol.RefusalResponse(refusal)
 	return caller.Response{Status: refusal.Status, Header: header, Body: body}
 }
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -82,12 +82,12 @@
 	if !unanswered {
 		return
 	}
-	if !r.unanswered.add(time.Now(), record) {
+	if !r.unansweredBuffer.add(time.Now(), record) {
 		r.meters.increment("sent.notPassedOn")
 		return
 	}
 	if link.KindOf(err) == link.ConnectionLost {
-		go r.post(urgentMsg{}) // asynchronous, as the lock is held; urgent, as the holder may be lost
+		go r.post(urgentChangeMsg{}) // asynchronous, as the lock is held; urgent, as the holder may be lost
 	}
 }
 
@@ -98,7 +98,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var out []*wire.Sent
-	for _, record := range r.unanswered.list(now) {
+	for _, record := range r.unansweredBuffer.list(now) {
 		out = append(out, &wire.Sent{Id: record.hash, AgoMillis: uint32(now.Sub(record.firstSentAt).Milliseconds())})
 	}
 	return out
@@ -115,7 +115,7 @@
 	now := time.Now()
 	for _, s := range reported {
 		firstSentAt := now.Add(-millis(s.AgoMillis))
-		if r.sent.RecordAt(now, s.Id, firstSentAt) && !r.unanswered.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
+		if r.sent.RecordAt(now, s.Id, firstSentAt) && !r.unansweredBuffer.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
 			r.meters.increment("sent.notPassedOn")
 		}
 	}
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -46,7 +46,7 @@
 // booking that a holder refuses as sent before although it never was.
 func TestFirstSentHeader(t *testing.T) {
 	Convey("A request that was sent before and may have run has the header", t, func() {
-		r := still()
+		r := newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
 		So(r.sendsAge("a"), ShouldBeTrue)
 		So(r.sendsAge("other"), ShouldBeFalse)
@@ -56,7 +56,7 @@
 		So(otherKey.Header.Get(names.Default().FirstSent), ShouldBeEmpty)
 	})
 	Convey("A request that certainly did not run is forgotten, unless an earlier attempt may have run", t, func() {
-		r := still()
+		r := newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errNotSent)
 		r.sendAndRecord(bookingRequest("b"), &link.Response{NotRun: true}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errConnectionBroken)
@@ -66,7 +66,7 @@
 		So(r.sendsAge("c"), ShouldBeTrue)
 	})
 	Convey("A copy that did not run does not remove the record of a concurrent one that may have", t, func() {
-		r := still()
+		r := newTestRouter()
 		refused, broken := bookingRequest("a"), bookingRequest("a")
 		record, repeated := r.recordSent(refused)
 		otherRecord, otherRepeated := r.recordSent(broken)
@@ -75,7 +75,7 @@
 		So(r.sendsAge("a"), ShouldBeTrue)
 	})
 	Convey("An earlier time that the caller sends is kept", t, func() {
-		r, req := still(), bookingRequest("a")
+		r, req := newTestRouter(), bookingRequest("a")
 		req.Header.Set(names.Default().FirstSent, "60000")
 		r.recordSent(req)
 		So(req.Header.Get(names.Default().FirstSent), ShouldEqual, "60001")
@@ -84,11 +84,11 @@
 
 // refusalRecorder is a protocol that stores the last refusal.
 type refusalRecorder struct {
-	mute
+	stubProtocol
 	last *caller.Refusal
 }
 
-func (r refusalRecorder) Refused(refusal caller.Refusal) (http.Header, []byte) {
+func (r refusalRecorder) RefusalResponse(refusal caller.Refusal) (http.Header, []byte) {
 	*r.last = refusal
 	return http.Header{}, nil
 }
@@ -97,7 +97,7 @@
 // although an earlier one may have, its caller books again under a new id.
 func TestRefusalAfterAnEarlierAttempt(t *testing.T) {
 	Convey("The refusal says that the booking may have run", t, func() {
-		r, last := still(), caller.Refusal{}
+		r, last := newTestRouter(), caller.Refusal{}
 		r.protocol = refusalRecorder{last: &last}
 		refused := func(id string) caller.Refusal {
 			reply := r.giveUp(bookingRequest(id), spread.Choice{}, string(reasonKeyMoving), time.Second)
@@ -118,7 +118,7 @@
 // never saw it.
 func TestUnansweredRequestsAreGossiped(t *testing.T) {
 	Convey("Requests that may have run without an answer are gossiped, others are not", t, func() {
-		r, other := still(), still()
+		r, other := newTestRouter(), newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("b"), &link.Response{Status: http.StatusOK}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
@@ -129,13 +129,13 @@
 		So(other.sendsAge("a"), ShouldBeTrue)
 		So(other.unansweredSent(), ShouldHaveLength, 1) // forwarded by the receiver
 		Convey("A receiver forwards a request only once", func() {
-			other.unanswered = piggybackBuffer[sentRecord]{}
+			other.unansweredBuffer = piggybackBuffer[sentRecord]{}
 			other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 800}})
 			So(other.unansweredSent(), ShouldBeEmpty)
 		})
 	})
 	Convey("A request whose caller left before the answer is gossiped, too", t, func() {
-		r := still()
+		r := newTestRouter()
 		ctx, cancel := context.WithCancel(context.Background())
 		record, repeated := r.recordSent(bookingRequest("a"))
 		cancel()
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -84,7 +84,7 @@
 	snap := r.current.Load()
 	id := r.protocol.ID(callerReq.Header)
 	if !snap.configured {
-		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, RetryAfter: notReadyRetry}, "")
+		return r.refuse(caller.Refusal{ID: id, Status: http.StatusServiceUnavailable, Reason: reasonNoConfig, RetryAfter: notReadyRetryDelay}, "")
 	}
 	req, rejection := r.resolve(snap, callerReq, id)
 	if rejection != nil {
@@ -116,7 +116,7 @@
 	req := &request{Request: callerReq, id: id, route: route, key: -1, target: strings.TrimPrefix(callerReq.RequestURI, route.StripPrefix)}
 	req.service, _ = snap.config.Service(route.PickService(r.randomFloat()))
 	req.deadline = callerReq.ReadAt.Add(route.Timeout)
-	if callerTimeout, ok := r.protocol.Patience(callerReq.Header); ok && callerTimeout < route.Timeout {
+	if callerTimeout, ok := r.protocol.CallerTimeout(callerReq.Header); ok && callerTimeout < route.Timeout {
 		req.deadline = callerReq.ReadAt.Add(callerTimeout)
 	}
 	if req.service.Keyed {
@@ -137,7 +137,7 @@
 func (r *Router) callerReply(req *request, a *link.Response) caller.Response {
 	header := a.Header
 	header.Del(r.protocol.Names().Load)
-	r.protocol.Answered(header, req.id, a.Server)
+	r.protocol.AddResponseHeaders(header, req.id, a.Server)
 	return caller.Response{Status: a.Status, Header: header, Body: a.Body}
 }
 
@@ -166,12 +166,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if req.key >= 0 {
-		k := heatKey{service: req.service.Name, bucket: uint32(keeper.Bucket(req.key))}
-		r.heat[k] = r.heat[k].with(1, r.spread.TypicalTime(req.requirements), req.route.LatencyTarget)
+		k := bucketKey{service: req.service.Name, bucket: uint32(keeper.Bucket(req.key))}
+		r.bucketLoads[k] = r.bucketLoads[k].with(1, r.spread.TypicalTime(req.requirements), req.route.LatencyTarget)
 	}
 	budget := r.budgets[req.service.Name]
 	if budget == nil {
-		budget = retry.NewBudget(r.retryShare()*retryMargin, int(r.burst()))
+		budget = retry.NewBudget(r.retryShare()*retryUtilisation, int(r.retryBurst()))
 		r.budgets[req.service.Name] = budget
 	}
 	budget.Deposit()
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -39,7 +39,7 @@
 // never move keys off a server.
 func TestCountsIncludeServiceTimeAndTargetLatency(t *testing.T) {
 	Convey("Each request adds its service time and its target latency", t, func() {
-		r := still()
+		r := newTestRouter()
 		req := &request{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
 			requirements: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
 		r.recordArrival(req)
@@ -56,8 +56,8 @@
 // key were excluded, the request would be refused as if the key were moving.
 func TestRetryGoesToTheSameHolder(t *testing.T) {
 	Convey("The holder of a key is chosen again after a lost answer", t, func() {
-		r := still()
-		r.serversAt(second(1), 10, entryOf("a", 5))
+		r := newTestRouter()
+		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{
 			{From: 0, To: grant.LastKey, Holder: grant.Holder{Server: "a", StartMillis: 1, Address: "a"}}}}}}))
 		now := time.Now()
@@ -86,7 +86,7 @@
 // its caller submits it again.
 func TestRequestsThatCrashServers(t *testing.T) {
 	afterLosses := func(servers ...string) (*Router, *request) {
-		r, req := still(), lookupRequest(time.Second)
+		r, req := newTestRouter(), lookupRequest(time.Second)
 		req.route.MaxAttempts = 9
 		for _, s := range servers {
 			r.recordLoss(req, s)
@@ -111,21 +111,21 @@
 // answer again.
 func TestNewLeaderReceivesAllSlowdowns(t *testing.T) {
 	Convey("A leader gets each slowdown once, a new leader gets all of them", t, func() {
-		r := still()
+		r := newTestRouter()
 		setEpoch := func(epoch uint64) {
 			r.current.Store(r.current.Load().withConfig(config.Config{Services: []config.Service{{Name: "s", Keyed: true}}}).withTable(grant.Table{Epoch: epoch}))
 		}
 		setEpoch(1)
-		r.serversAt(second(1), 10, entryOf("a", 5))
+		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		server, _ := r.current.Load().fleet.Find("a")
 		requirements := spread.Requirements{Route: "look", Aim: time.Second, LocalDataCentre: "x"}
 		r.spread.Begin(t0, server, requirements)
 		r.spread.End(t0, server, requirements, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
 		learnsSlowdown := func(at float64) bool {
-			r.control.heats = newSiteCounts()
-			r.control.sendCounts(second(at), true)
-			return r.control.heats.slowdowns.Factors()["a"] > 1
+			r.control.loadStats = newSiteCounts()
+			r.control.sendCounts(atSecond(at), true)
+			return r.control.loadStats.slowdowns.Factors()["a"] > 1
 		}
 		So(learnsSlowdown(10), ShouldBeTrue)
 		So(learnsSlowdown(20), ShouldBeFalse)
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -37,9 +37,9 @@
 	if !r.suspects.RecordLoss(now, req.fingerprint, server) {
 		return
 	}
-	r.suspicions.add(now, &wire.Suspect{Fingerprint: req.fingerprint, Servers: []string{server}})
+	r.suspectBuffer.add(now, &wire.Suspect{Fingerprint: req.fingerprint, Servers: []string{server}})
 	if r.suspects.ShouldRefuse(now, req.fingerprint) {
-		go r.post(urgentMsg{}) // asynchronous, as the lock is held
+		go r.post(urgentChangeMsg{}) // asynchronous, as the lock is held
 	}
 }
 
@@ -63,7 +63,7 @@
 func (r *Router) recentSuspects() []*wire.Suspect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.suspicions.list(time.Now())
+	return r.suspectBuffer.list(time.Now())
 }
 
 // mergeLosses records losses that other daemons found and forwards the new ones with this
@@ -79,7 +79,7 @@
 		if !r.suspects.RecordLoss(now, s.Fingerprint, s.Servers...) {
 			continue
 		}
-		r.suspicions.add(now, s)
+		r.suspectBuffer.add(now, s)
 		refused = refused || r.suspects.ShouldRefuse(now, s.Fingerprint)
 	}
 	return refused
