--- a/cmd/catkinstep/bench.go
+++ b/cmd/catkinstep/bench.go
@@ -15,13 +15,14 @@
 )
 
 type demoCmd struct {
-	Site string        `help:"Whose site." enum:"lakeshore,graniteHearth" default:"lakeshore"`
+	Site string        `help:"Site to run." enum:"lakeshore,graniteHearth" default:"lakeshore"`
 	For  time.Duration `help:"How long the load runs." default:"20s"`
-	Seed uint64        `help:"Seed." default:"1"`
-	Rate float64       `help:"Requests a second of each service." default:"250"`
+	Seed uint64        `help:"Seed of the random numbers." default:"1"`
+	Rate float64       `help:"Requests per second for each service." default:"250"`
 }
 
-// Run plays a short story over a whole site in one process.
+// Run runs a whole site in one process under load, with a series of operator commands and
+// failures.
 func (d *demoCmd) Run(ctx context.Context, c *commands) error {
 	plan := stage.Lakeshore()
 	if d.Site == "graniteHearth" {
@@ -35,50 +36,50 @@
 	if err != nil {
 		return err
 	}
-	return conclude(os.Stdout, rows)
+	return printRows(os.Stdout, rows)
 }
 
 type outagesCmd struct {
-	Kind  string `arg:"" help:"One of server, frozenServer, daemon, leader, dataCentre."`
-	Tries int    `help:"How often." default:"20"`
-	Seed  uint64 `help:"Seed." default:"1"`
+	Kind  string `arg:"" help:"Kind of loss: server, frozenServer, daemon, leader or dataCentre."`
+	Tries int    `help:"How many losses to measure." default:"20"`
+	Seed  uint64 `help:"Seed of the random numbers." default:"1"`
 }
 
-// Run measures how long keys are not served after a loss.
+// Run measures how long keys are not served after the loss of a server, daemon or data centre.
 func (o *outagesCmd) Run(ctx context.Context) error {
-	got, err := bench.Outages(ctx, o.Kind, o.Tries, bench.WithSeed(o.Seed), bench.WithProgress(os.Stderr))
+	results, err := bench.Outages(ctx, o.Kind, o.Tries, bench.WithSeed(o.Seed), bench.WithProgress(os.Stderr))
 	if err != nil {
 		return err
 	}
-	return printJSON(got)
+	return printJSON(results)
 }
 
 type idleCmd struct {
-	Daemons int           `help:"How many." default:"9"`
-	For     time.Duration `help:"How long." default:"60s"`
+	Daemons int           `help:"How many daemons to run." default:"9"`
+	For     time.Duration `help:"How long to measure." default:"60s"`
 }
 
-// Run counts control traffic and platform calls without any load.
+// Run measures control traffic and platform calls without load.
 func (i *idleCmd) Run(ctx context.Context) error {
-	got, err := bench.MeasureIdle(ctx, i.Daemons, i.For)
+	results, err := bench.MeasureIdle(ctx, i.Daemons, i.For)
 	if err != nil {
 		return err
 	}
-	return printJSON(got)
+	return printJSON(results)
 }
 
 type benchCmd struct {
-	Scenario string        `arg:"" help:"One of steady, slowed, departure, turnsCold, hotKey, serverLoss, hostLoss."`
-	Against  string        `help:"Measure a baseline too." enum:",direct" default:""`
+	Scenario string        `arg:"" help:"Scenario: steady, slowed, departure, turnsCold, hotKey, serverLoss or hostLoss."`
+	Against  string        `help:"Baseline to measure as well." enum:",direct" default:""`
 	For      time.Duration `help:"How long the load runs." default:"20s"`
-	Seed     uint64        `help:"Seed." default:"1"`
-	Rate     float64       `help:"Requests a second of each service." default:"600"`
-	Site     string        `help:"Whose site." enum:"lakeshore,graniteHearth" default:"lakeshore"`
-	Work     time.Duration `help:"Mean time of a request at a server." default:"10ms"`
-	JSON     string        `help:"Write the rows to a file."`
+	Seed     uint64        `help:"Seed of the random numbers." default:"1"`
+	Rate     float64       `help:"Requests per second for each service." default:"600"`
+	Site     string        `help:"Site to run." enum:"lakeshore,graniteHearth" default:"lakeshore"`
+	Work     time.Duration `help:"Mean processing time of a request at a server." default:"10ms"`
+	JSON     string        `help:"File to which the rows are also written as JSON."`
 }
 
-// Run measures a scenario.
+// Run measures one scenario.
 func (b *benchCmd) Run(ctx context.Context, c *commands) error {
 	opts := []bench.Option{bench.WithFor(b.For), bench.WithSeed(b.Seed), bench.WithRate(b.Rate), bench.WithProgress(os.Stderr)}
 	plan := stage.Lakeshore()
@@ -102,16 +103,16 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(b.JSON, append(data, '\n'), 0o644); err != nil { //nolint:gosec // a report for everyone
+		if err := os.WriteFile(b.JSON, append(data, '\n'), 0o644); err != nil { //nolint:gosec // the report may be world-readable
 			return err
 		}
 	}
-	return conclude(os.Stdout, rows)
+	return printRows(os.Stdout, rows)
 }
 
-// conclude prints the measures and the oracle's verdict; a violation by
-// catkinstep is an error.
-func conclude(out io.Writer, rows []bench.Row) error {
+// printRows prints the measurements and the oracle's verdict. It returns an error if catkinstep
+// violated a rule.
+func printRows(out io.Writer, rows []bench.Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VARIANT\tSERVICE\tREQUESTS\tANSWERED\tNOT RUN\tUNKNOWN\tP50\tP99\tP99.9\tP99 OF ALL\tIMBALANCE\tCHURN (LEAST)\tUNAVAILABLE\tEXTRA WORK\t")
 	for _, r := range rows {
@@ -122,17 +123,17 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	bad, seen := 0, map[string]bool{}
+	violations, printed := 0, map[string]bool{}
 	for _, r := range rows {
-		if seen[r.Variant] {
-			continue // the verdict is of the whole run, the same in all rows
+		if printed[r.Variant] {
+			continue // the verdict covers the whole run and is the same in all rows of a variant
 		}
-		seen[r.Variant] = true
+		printed[r.Variant] = true
 		v := r.Violations
 		fmt.Fprintf(out, "oracle on %s: twoOwners %d, doubleRun %d, wrongAnswer %d, falseNotRun %d, overload %d, newWorkAfterOut %d, cutRequest %d\n",
 			r.Variant, v.TwoOwners, v.DoubleRun, v.WrongAnswer, v.FalseNotRun, v.Overload, v.NewWorkAfterOut, v.CutRequest)
 		if r.Variant == bench.Catkinstep {
-			bad += v.Total()
+			violations += v.Total()
 			for _, f := range v.Findings {
 				fmt.Fprintln(out, "  "+f)
 			}
@@ -143,7 +144,7 @@
 			fmt.Fprintf(out, "%s %s refusals and unknowns: %v\n", r.Variant, r.Service, r.Codes)
 		}
 	}
-	if bad > 0 {
+	if violations > 0 {
 		return errors.New("the oracle found violations")
 	}
 	return nil
--- a/cmd/catkinstep/edge.go
+++ b/cmd/catkinstep/edge.go
@@ -16,7 +16,7 @@
 	Settings string `help:"Settings file of the platform." required:"" env:"${settingsEnv}"`
 }
 
-// Run runs a daemon on the users' platform until it is asked to stop.
+// Run runs a daemon on the users' platform until a signal stops it.
 func (e *edgeCmd) Run(ctx context.Context, c *commands) error {
 	s, err := bridge.Load(e.Settings)
 	if err != nil {
@@ -26,25 +26,25 @@
 	defer out.Close()
 	logger := slog.New(slog.NewJSONHandler(out, &slog.HandlerOptions{Level: c.level()}))
 	r := router.New(s.Daemon, bridge.NewStore(s.StoreAddress), bridge.NewProtocol(), router.WithLogger(logger))
-	go reload(ctx, e.Settings, r, logger)
+	go reloadOnHangup(ctx, e.Settings, r, logger)
 	return r.Run(ctx)
 }
 
-// reload reads the settings file again at each SIGHUP. What cannot be changed
-// while the daemon runs, as its addresses, is named and stays as it was.
-func reload(ctx context.Context, file string, r *router.Router, logger *slog.Logger) {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+// reloadOnHangup reads the settings file again on each SIGHUP. Settings that cannot change
+// while the daemon runs, such as its addresses, stay as they are, and a warning is logged.
+func reloadOnHangup(ctx context.Context, file string, r *router.Router, logger *slog.Logger) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hups:
+		case <-hangups:
 		}
 		s, err := bridge.Load(file)
 		if err != nil {
-			logger.Error("settings: not reloaded, the old ones stay in force", "err", err)
+			logger.Error("settings: reload failed, keeping the old settings", "err", err)
 			continue
 		}
 		r.Reload(s.Daemon)
--- a/cmd/catkinstep/losses.go
+++ b/cmd/catkinstep/losses.go
@@ -11,46 +11,47 @@
 	"catkinstep/core/process/loss"
 )
 
-// longestLine bounds a line of a log, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
 type lossesCmd struct {
-	Logs   []string      `arg:"" help:"Logs of daemons, as they wrote them or with something before each line." type:"existingfile"`
-	Window time.Duration `help:"Spans of time to count by." default:"2s"`
-	Most   int           `help:"Longest table." default:"20"`
+	Logs   []string      `arg:"" help:"Log files of daemons. Lines may have a prefix, such as that of a log collector." type:"existingfile"`
+	Window time.Duration `help:"Length of the time windows of the table by time." default:"2s"`
+	Most   int           `help:"Maximum number of rows of a table; 0: no limit. The table by time has no limit." default:"20"`
 }
 
-// Run prints the requests that were refused, failed or late, by cause and place.
+// Run counts the requests that were refused, failed or late, and prints the counts by cause,
+// route, time, server and keys.
 func (c *lossesCmd) Run() error {
 	if c.Window <= 0 {
-		return fmt.Errorf("--window must be above 0, not %v", c.Window)
+		return fmt.Errorf("--window must be positive, not %v", c.Window)
 	}
 	t := loss.New(c.Window)
 	for _, name := range c.Logs {
-		if err := addLog(t, name); err != nil {
+		if err := tallyLog(t, name); err != nil {
 			return err
 		}
 	}
 	return c.print(t)
 }
 
-// addLog reads one log. A line that cannot be read is named and the rest is read
-// all the same: the last one of a daemon that was killed is often cut.
-func addLog(t *loss.Tally, name string) error {
+// tallyLog counts the lost requests of one log. It reports lines that cannot be parsed and
+// goes on, since the last line of a killed daemon is often incomplete.
+func tallyLog(t *loss.Tally, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
-		l, ok, err := loss.Parse(lines.Bytes())
+		entry, ok, err := loss.Parse(lines.Bytes())
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s:%d: %v\n", name, n, err)
 		}
 		if ok {
-			t.Add(l)
+			t.Add(entry)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -71,12 +72,12 @@
 	return w.Flush()
 }
 
-// printLosses prints a table, or its first rows if there is a bound.
-func printLosses(w io.Writer, title string, rows []loss.Row, most int) {
+// printLosses prints a table. If maxRows is positive, it prints only that many rows.
+func printLosses(w io.Writer, title string, rows []loss.Row, maxRows int) {
 	fmt.Fprintf(w, "%s\tLOST\tMOST OFTEN\t\n", title)
 	for i, r := range rows {
-		if most > 0 && i == most {
-			fmt.Fprintf(w, "%d more\t\t\t\n", len(rows)-most)
+		if maxRows > 0 && i == maxRows {
+			fmt.Fprintf(w, "%d more\t\t\t\n", len(rows)-maxRows)
 			break
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s (%d)\t\n", r.Group, r.Lost, r.TopCause, r.TopCauseCount)
--- a/cmd/catkinstep/main.go
+++ b/cmd/catkinstep/main.go
@@ -21,23 +21,23 @@
 const version = "0.1.0"
 
 type commands struct {
-	Operator string `help:"Operator interface of any daemon, as IP:PORT." default:"127.0.0.1:7200" env:"CATKINSTEP_OPERATOR"`
+	Operator string `help:"Address of any daemon's operator interface, as IP:PORT." default:"127.0.0.1:7200" env:"CATKINSTEP_OPERATOR"`
 	Token    string `help:"Bearer token of the operator interface." env:"CATKINSTEP_TOKEN"`
-	LogLevel string `help:"Lowest level that is logged." enum:"debug,info,warn,error" default:"info"`
+	LogLevel string `help:"Minimum level of log messages." enum:"debug,info,warn,error" default:"info"`
 
 	Serve      serveCmd      `cmd:"" help:"Run a daemon on this host."`
 	Edge       edgeCmd       `cmd:"" help:"Run a daemon on the users' platform."`
-	Check      checkCmd      `cmd:"" help:"Check a site file and name every mistake."`
+	Check      checkCmd      `cmd:"" help:"Check a site file and list all problems."`
 	Apply      applyCmd      `cmd:"" help:"Put a site file in force."`
-	Preset     presetCmd     `cmd:"" help:"Switch presets."`
-	Datacentre dataCentreCmd `cmd:"" help:"Take a data centre out or in."`
-	Host       hostCmd       `cmd:"" help:"Take a host out or in."`
-	Status     statusCmd     `cmd:"" help:"Show what is in force where."`
+	Preset     presetCmd     `cmd:"" help:"Switch to another preset."`
+	Datacentre dataCentreCmd `cmd:"" help:"Take a data centre out of service, or put it back."`
+	Host       hostCmd       `cmd:"" help:"Take a host out of service, or put it back."`
+	Status     statusCmd     `cmd:"" help:"Show which configuration each daemon has in force."`
 	Report     reportCmd     `cmd:"" help:"Show reports."`
-	Demo       demoCmd       `cmd:"" help:"Run a whole site in one process, with a short story."`
-	Outages    outagesCmd    `cmd:"" help:"Measure how long keys are not served after a loss."`
-	Idle       idleCmd       `cmd:"" help:"Count control traffic and platform calls without load."`
-	Bench      benchCmd      `cmd:"" help:"Measure a scenario."`
+	Demo       demoCmd       `cmd:"" help:"Run a whole site in one process, with load, operator commands and failures."`
+	Outages    outagesCmd    `cmd:"" help:"Measure how long keys are not served after the loss of a server, daemon or data centre."`
+	Idle       idleCmd       `cmd:"" help:"Measure control traffic and platform calls without load."`
+	Bench      benchCmd      `cmd:"" help:"Run a benchmark scenario."`
 	Standin    standinCmd    `cmd:"" help:"Run stand-ins for the platform and for backend servers."`
 	Version    versionCmd    `cmd:"" help:"Print the version."`
 }
@@ -58,17 +58,18 @@
 		kong.Vars{"settingsEnv": bridge.SettingsEnv})
 	k.BindTo(ctx, (*context.Context)(nil))
 	if err := k.Run(&c); err != nil {
-		report(err)
+		printError(err)
 		stop()
-		os.Exit(1) //nolint:gocritic // stop has run
+		os.Exit(1) //nolint:gocritic // stop was called above
 	}
 }
 
-// report prints an error; mistakes in a file come one a line, as compilers do.
-func report(err error) {
-	var m check.FileErrors
-	if errors.As(err, &m) {
-		fmt.Fprintln(os.Stderr, m)
+// printError prints an error. Problems of a file are printed one per line, in the format that
+// compilers use.
+func printError(err error) {
+	var fileErrs check.FileErrors
+	if errors.As(err, &fileErrs) {
+		fmt.Fprintln(os.Stderr, fileErrs)
 		return
 	}
 	fmt.Fprintln(os.Stderr, "catkinstep:", err)
--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -36,7 +36,8 @@
 	File string `short:"f" help:"Site file." required:""`
 }
 
-// Run checks a site file here first, so that its mistakes name this file.
+// Run checks the site file locally before it is sent, so that problems are reported with the
+// local file name.
 func (a *applyCmd) Run(ctx context.Context, c *commands) error {
 	data, err := os.ReadFile(a.File)
 	if err != nil {
@@ -45,60 +46,60 @@
 	if _, err := site.Parse(a.File, data); err != nil {
 		return err
 	}
-	return accepted(c.client().Apply(ctx, a.File, data))
+	return printAccepted(c.client().Apply(ctx, a.File, data))
 }
 
 type presetCmd struct {
 	Use struct {
-		Name string `arg:"" help:"Preset."`
+		Name string `arg:"" help:"Name of the preset."`
 	} `cmd:"" help:"Put a preset in force."`
 }
 
 // Run puts a preset in force.
 func (p *presetCmd) Run(ctx context.Context, c *commands) error {
-	return accepted(c.client().Preset(ctx, p.Use.Name))
+	return printAccepted(c.client().UsePreset(ctx, p.Use.Name))
 }
 
 type dataCentreCmd struct {
 	Out struct {
-		Name string `arg:"" help:"Data centre."`
-	} `cmd:"" help:"Give a data centre no new work, and move its keys away."`
+		Name string `arg:"" help:"Name of the data centre."`
+	} `cmd:"" help:"Send no new requests to a data centre, and move its keys away."`
 	In struct {
-		Name string `arg:"" help:"Data centre."`
-	} `cmd:"" help:"Take a data centre in again."`
+		Name string `arg:"" help:"Name of the data centre."`
+	} `cmd:"" help:"Put a data centre back into service."`
 }
 
 type hostCmd struct {
 	Out struct {
-		Address string `arg:"" help:"A backend server as IP:PORT, or the IP number of a host."`
-		Lost    bool   `help:"Your word that it has stopped for good: its keys move without its consent."`
-	} `cmd:"" help:"Give a host no new work, and move its keys away."`
+		Address string `arg:"" help:"A backend server as IP:PORT, or the IP address of a host."`
+		Lost    bool   `help:"Confirm that it has stopped for good: its keys move without its consent."`
+	} `cmd:"" help:"Send no new requests to a host, and move its keys away."`
 	In struct {
-		Address string `arg:"" help:"A backend server as IP:PORT, or the IP number of a host."`
-	} `cmd:"" help:"Take a host in again."`
+		Address string `arg:"" help:"A backend server as IP:PORT, or the IP address of a host."`
+	} `cmd:"" help:"Put a host back into service."`
 }
 
-// Run marks a data centre.
+// Run takes a data centre out of service, or puts it back.
 func (d *dataCentreCmd) Run(ctx context.Context, c *commands) error {
 	if d.Out.Name != "" {
-		return accepted(c.client().Out(ctx, site.Exclusion{DataCentre: d.Out.Name}))
+		return printAccepted(c.client().Exclude(ctx, site.Exclusion{DataCentre: d.Out.Name}))
 	}
-	return accepted(c.client().In(ctx, site.Exclusion{DataCentre: d.In.Name}))
+	return printAccepted(c.client().RemoveExclusion(ctx, site.Exclusion{DataCentre: d.In.Name}))
 }
 
-// Run marks a host.
+// Run takes a host out of service, or puts it back.
 func (h *hostCmd) Run(ctx context.Context, c *commands) error {
 	if h.Out.Address != "" {
-		return accepted(c.client().Out(ctx, site.Exclusion{Host: h.Out.Address}))
+		return printAccepted(c.client().Exclude(ctx, site.Exclusion{Host: h.Out.Address}))
 	}
-	return accepted(c.client().In(ctx, site.Exclusion{Host: h.In.Address}))
+	return printAccepted(c.client().RemoveExclusion(ctx, site.Exclusion{Host: h.In.Address}))
 }
 
-func accepted(a admin.Accepted, err error) error {
+func printAccepted(accepted admin.AcceptedChange, err error) error {
 	if err != nil {
 		return err
 	}
-	fmt.Printf("accepted as version %d: %s (preset %s)\n", a.Version, a.Change, a.Preset)
+	fmt.Printf("accepted as version %d: %s (preset %s)\n", accepted.Version, accepted.Change, accepted.Preset)
 	return nil
 }
 
@@ -106,38 +107,38 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run prints what is in force where.
+// Run prints which configuration each daemon has in force.
 func (s *statusCmd) Run(ctx context.Context, c *commands) error {
-	st, err := c.client().Status(ctx)
+	status, err := c.client().Status(ctx)
 	if err != nil {
 		return err
 	}
 	if s.JSON {
-		return printJSON(st)
+		return printJSON(status)
 	}
-	fmt.Printf("accepted: version %d (%s), preset %s\n", st.Accepted, st.Change, st.Preset)
-	for _, o := range st.Outs {
+	fmt.Printf("accepted: version %d (%s), preset %s\n", status.AcceptedVersion, status.Change, status.Preset)
+	for _, o := range status.Exclusions {
 		fmt.Printf("out: %s%s\n", o.DataCentre, o.Host)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DATA CENTRE\tDAEMON\tLEADER\tIN FORCE\t")
-	for _, d := range st.Daemons {
-		force := fmt.Sprintf("version %d", d.Site)
-		if d.Behind != "" {
-			force += ": " + d.Behind
+	for _, d := range status.Daemons {
+		inForce := fmt.Sprintf("version %d", d.ConfigVersion)
+		if d.BehindReason != "" {
+			inForce += ": " + d.BehindReason
 		}
 		leader := ""
 		if d.Leader {
 			leader = "yes"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t\n", d.DataCentre, d.Name, leader, force)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t\n", d.DataCentre, d.Name, leader, inForce)
 	}
 	return w.Flush()
 }
 
 type reportCmd struct {
-	Burn   burnCmd   `cmd:"" help:"How fast the service levels' error budgets burn, and why."`
-	Losses lossesCmd `cmd:"" help:"Which requests were lost and why, from daemons' logs."`
+	Burn   burnCmd   `cmd:"" help:"Show how fast services use up their error budgets, and why."`
+	Losses lossesCmd `cmd:"" help:"Show which requests were lost and why, from daemons' logs."`
 }
 
 type burnCmd struct {
@@ -146,7 +147,7 @@
 
 // Run prints the burn report.
 func (b *burnCmd) Run(ctx context.Context, c *commands) error {
-	r, err := c.client().Burn(ctx)
+	r, err := c.client().BurnReport(ctx)
 	if err != nil {
 		return err
 	}
@@ -156,14 +157,14 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tDATA CENTRE\tWINDOW\tREQUESTS\tANSWERED BURN\tFAST BURN\tCAUSE\tNOT KNOWN\t")
 	for _, v := range r.Rows {
-		place, gap := v.DataCentre, ""
-		if place == "" {
-			place = "all"
+		dataCentre, unobserved := v.DataCentre, ""
+		if dataCentre == "" {
+			dataCentre = "all"
 		}
 		if v.ObservedFor < v.Window {
-			gap = (v.Window - v.ObservedFor).Round(time.Second).String()
+			unobserved = (v.Window - v.ObservedFor).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%.2f\t%.2f\t%s\t%s\t\n", v.Service, place, v.Window, v.Requests, v.AnsweredBurn, v.FastBurn, v.Cause, gap)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%.2f\t%.2f\t%s\t%s\t\n", v.Service, dataCentre, v.Window, v.Requests, v.AnsweredBurn, v.FastBurn, v.Cause, unobserved)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/catkinstep/serve.go
+++ b/cmd/catkinstep/serve.go
@@ -12,14 +12,14 @@
 	"catkinstep/io/process/prefs"
 )
 
-// stopPatience is how long a planned stop may take before it is forced.
-const stopPatience = 15 * time.Second
+// stopTimeout is how long a graceful shutdown may take before the process exits anyway.
+const stopTimeout = 15 * time.Second
 
 type serveCmd struct {
 	Settings string `help:"Settings file of this host." required:""`
 }
 
-// Run runs a daemon until it is asked to stop.
+// Run runs a daemon until a signal stops it.
 func (s *serveCmd) Run(ctx context.Context, c *commands) error {
 	p, err := prefs.Load(s.Settings)
 	if err != nil {
@@ -28,16 +28,16 @@
 	out := logs.New(os.Stdout)
 	defer out.Close()
 	logger := slog.New(slog.NewJSONHandler(out, &slog.HandlerOptions{Level: c.level()}))
-	d, err := native.Start(p, native.WithLogger(logger), native.WithOperator(admin.Handler))
+	d, err := native.Start(p, native.WithLogger(logger), native.WithOperatorHandler(admin.Handler))
 	if err != nil {
 		return err
 	}
 	select {
 	case <-ctx.Done():
-	case <-d.Dead():
+	case <-d.Done():
 		return d.Err()
 	}
-	stop, cancel := context.WithTimeout(context.Background(), stopPatience)
+	stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	return d.Stop(stop)
+	return d.Stop(stopCtx)
 }
--- a/cmd/catkinstep/standin.go
+++ b/cmd/catkinstep/standin.go
@@ -14,17 +14,17 @@
 )
 
 type standinCmd struct {
-	Platform platformCmd `cmd:"" help:"Stand in for the platform's object API."`
-	Server   serverCmd   `cmd:"" help:"Stand in for one backend server."`
-	Verdict  verdictCmd  `cmd:"" help:"Judge what server stand-ins ran: two owners, double runs, overload."`
+	Platform platformCmd `cmd:"" help:"Run a stand-in for the platform's object API."`
+	Server   serverCmd   `cmd:"" help:"Run a stand-in for one backend server."`
+	Verdict  verdictCmd  `cmd:"" help:"Check the requests that server stand-ins ran for two owners, double runs and overload."`
 }
 
 type platformCmd struct {
 	Listen string `help:"Address as IP:PORT." default:"127.0.0.1:7000"`
-	Seed   uint64 `help:"Seed of the faults." default:"1"`
+	Seed   uint64 `help:"Seed of the injected faults." default:"1"`
 }
 
-// Run serves the platform stand-in.
+// Run runs the platform stand-in.
 func (p *platformCmd) Run(ctx context.Context) error {
 	s := &http.Server{Addr: p.Listen, Handler: store.New(store.WithSeed(p.Seed)), ReadHeaderTimeout: time.Minute}
 	context.AfterFunc(ctx, func() { _ = s.Close() })
@@ -36,17 +36,17 @@
 
 type serverCmd struct {
 	Listen     string        `help:"Address as IP:PORT." required:""`
-	Service    string        `help:"Service." required:""`
-	DataCentre string        `help:"Data centre."`
-	Slots      int           `help:"Requests at once." default:"3"`
-	Keyed      bool          `help:"Run a request only while its key was granted."`
-	Cold       time.Duration `help:"How long it is cold after its start." default:"3s"`
-	ColdRate   float64       `help:"Requests a second that it bears while cold; 0: never cold." default:"20"`
-	Work       time.Duration `help:"Mean time of a request." default:"5ms"`
-	Seed       uint64        `help:"Seed." default:"1"`
+	Service    string        `help:"Name of the service." required:""`
+	DataCentre string        `help:"Name of the data centre."`
+	Slots      int           `help:"How many requests the server runs concurrently." default:"3"`
+	Keyed      bool          `help:"Run a request only while the server holds its key."`
+	Cold       time.Duration `help:"How long the server is cold after its start." default:"3s"`
+	ColdRate   float64       `help:"How many requests per second the server can handle while cold; 0: never cold." default:"20"`
+	Work       time.Duration `help:"Mean processing time of a request." default:"5ms"`
+	Seed       uint64        `help:"Seed of the random numbers." default:"1"`
 }
 
-// Run serves a backend server stand-in.
+// Run runs a backend server stand-in.
 func (s *serverCmd) Run(ctx context.Context) error {
 	v := server.New(server.Config{
 		Address: s.Listen, Service: s.Service, DataCentre: s.DataCentre, Slots: s.Slots,
@@ -64,11 +64,11 @@
 	Servers []string `arg:"" help:"Addresses of server stand-ins."`
 }
 
-// Run gathers what ran and judges it.
+// Run fetches the requests that the servers ran and prints the oracle's verdict.
 func (v *verdictCmd) Run(ctx context.Context) error {
 	o := oracle.New()
 	for _, address := range v.Servers {
-		runs, err := runsOf(ctx, address)
+		runs, err := fetchRuns(ctx, address)
 		if err != nil {
 			return fmt.Errorf("verdict: %s: %w", address, err)
 		}
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func runsOf(ctx context.Context, address string) ([]oracle.Run, error) {
+func fetchRuns(ctx context.Context, address string) ([]oracle.Run, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/standin/runs", nil)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close() //nolint:errcheck // all that counts has been read
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
 	var runs []oracle.Run
 	err = json.NewDecoder(resp.Body).Decode(&runs)
 	return runs, err
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -16,161 +16,162 @@
 	"catkinstep/io/process/native"
 )
 
-// maxFile bounds what operators send, in bytes.
-const maxFile = 1 << 20
+// maxRequestBytes limits the request bodies of operators.
+const maxRequestBytes = 1 << 20
 
-// Status is what the fleet has in force.
+// Status is the configuration in force and how far it has spread among the daemons.
 type Status struct {
-	// Accepted is the version of the stored configuration.
-	Accepted uint64           `json:"accepted"`
-	Preset   string           `json:"preset"`
-	Change   string           `json:"change"`
-	Outs     []site.Exclusion `json:"outs"`
-	// Everywhere is set when all known daemons have the accepted version.
-	Everywhere bool           `json:"everywhere"`
-	Daemons    []DaemonStatus `json:"daemons"`
+	// AcceptedVersion is the version of the stored configuration.
+	AcceptedVersion uint64           `json:"accepted"`
+	Preset          string           `json:"preset"`
+	Change          string           `json:"change"`
+	Exclusions      []site.Exclusion `json:"outs"`
+	// InForceEverywhere is set when all known daemons use the accepted version.
+	InForceEverywhere bool           `json:"everywhere"`
+	Daemons           []DaemonStatus `json:"daemons"`
 }
 
-// DaemonStatus is what one daemon has in force.
+// DaemonStatus is the status of one daemon.
 type DaemonStatus struct {
-	Name       string `json:"name"`
-	DataCentre string `json:"dataCentre"`
-	Leader     bool   `json:"leader"`
-	Site       uint64 `json:"site"`
-	// Behind says why the accepted version is not in force there; empty when it is.
-	Behind string `json:"behind,omitempty"`
+	Name          string `json:"name"`
+	DataCentre    string `json:"dataCentre"`
+	Leader        bool   `json:"leader"`
+	ConfigVersion uint64 `json:"site"`
+	// BehindReason says why the daemon does not use the accepted version; empty if it does.
+	BehindReason string `json:"behind,omitempty"`
 }
 
-// Burn is the burn report.
-type Burn struct {
+// BurnReport shows how fast each service uses up its error budgets.
+type BurnReport struct {
 	Rows []burn.Row `json:"rows"`
-	// Missing are daemons that did not answer: their counts are not in the rows.
+	// Missing are the addresses of daemons that did not answer. Their requests are not
+	// included in the rows.
 	Missing []string `json:"missing,omitempty"`
 }
 
-type admin struct{ daemon *native.Daemon }
+type handler struct{ daemon *native.Daemon }
 
-// Handler serves a daemon's operator interface.
+// Handler returns the handler of a daemon's operators' interface.
 func Handler(d *native.Daemon) http.Handler {
-	a := &admin{daemon: d}
+	h := &handler{daemon: d}
 	r := bunrouter.New()
-	r.GET("/status", a.status)
-	r.GET("/burn", a.burn)
+	r.GET("/status", h.status)
+	r.GET("/burn", h.burn)
 	r.GET("/debug/vars", d.AnswerMetrics)
 	r.GET("/ready", d.AnswerReady)
-	r.POST("/apply", a.apply)
-	r.POST("/preset", a.preset)
-	r.POST("/out", a.mark(site.Site.WithExclusion))
-	r.POST("/in", a.mark(site.Site.WithoutExclusion))
-	return a.guard(r)
+	r.POST("/apply", h.apply)
+	r.POST("/preset", h.preset)
+	r.POST("/out", h.updateExclusions(site.Site.WithExclusion))
+	r.POST("/in", h.updateExclusions(site.Site.WithoutExclusion))
+	return h.requireToken(r)
 }
 
-// guard asks for the token, if the settings have one.
-func (a *admin) guard(next http.Handler) http.Handler {
-	token := a.daemon.Prefs().OperatorToken
+// requireToken rejects requests without the bearer token, if the settings have one.
+func (h *handler) requireToken(next http.Handler) http.Handler {
+	token := h.daemon.Prefs().OperatorToken
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if token != "" && subtle.ConstantTimeCompare([]byte(given), []byte(token)) != 1 {
-			_ = fail(w, &Error{Op: "operator", Kind: Denied, Err: errors.New("the bearer token is missing or wrong")})
+			_ = writeError(w, &Error{Op: "operator", Kind: Denied, Err: errors.New("the bearer token is missing or wrong")})
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (a *admin) apply(w http.ResponseWriter, r bunrouter.Request) error {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxFile))
+func (h *handler) apply(w http.ResponseWriter, r bunrouter.Request) error {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
-		return fail(w, &Error{Op: "apply", Kind: Invalid, Err: err})
+		return writeError(w, &Error{Op: "apply", Kind: Invalid, Err: err})
 	}
 	file, err := site.Parse(r.URL.Query().Get("file"), data)
 	if err != nil {
-		return fail(w, &Error{Op: "apply", Kind: Invalid, Err: err})
+		return writeError(w, &Error{Op: "apply", Kind: Invalid, Err: err})
 	}
-	return a.change(w, r, func(s site.Site) (site.Site, error) { return s.WithFile(file) })
+	return h.applyChange(w, r, func(s site.Site) (site.Site, error) { return s.WithFile(file) })
 }
 
-func (a *admin) preset(w http.ResponseWriter, r bunrouter.Request) error {
+func (h *handler) preset(w http.ResponseWriter, r bunrouter.Request) error {
 	var in struct {
 		Name string `json:"name"`
 	}
 	if err := decode(r, &in); err != nil {
-		return fail(w, err)
+		return writeError(w, err)
 	}
-	return a.change(w, r, func(s site.Site) (site.Site, error) { return s.WithPreset(in.Name) })
+	return h.applyChange(w, r, func(s site.Site) (site.Site, error) { return s.WithPreset(in.Name) })
 }
 
-func (a *admin) mark(with func(site.Site, site.Exclusion) (site.Site, error)) bunrouter.HandlerFunc {
+func (h *handler) updateExclusions(update func(site.Site, site.Exclusion) (site.Site, error)) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		var in struct {
 			DataCentre string `json:"dataCentre"`
 			Host       string `json:"host"`
 		}
 		if err := decode(r, &in); err != nil {
-			return fail(w, err)
+			return writeError(w, err)
 		}
-		return a.change(w, r, func(s site.Site) (site.Site, error) {
-			return with(s, site.Exclusion{DataCentre: in.DataCentre, Host: in.Host})
+		return h.applyChange(w, r, func(s site.Site) (site.Site, error) {
+			return update(s, site.Exclusion{DataCentre: in.DataCentre, Host: in.Host})
 		})
 	}
 }
 
-func (a *admin) change(w http.ResponseWriter, r bunrouter.Request, f func(site.Site) (site.Site, error)) error {
+func (h *handler) applyChange(w http.ResponseWriter, r bunrouter.Request, change func(site.Site) (site.Site, error)) error {
 	ifVersion, _ := strconv.ParseUint(r.URL.Query().Get("ifVersion"), 10, 64)
-	ok, err := Change(r.Context(), a.daemon.Platform(), ifVersion, f)
+	result, err := Change(r.Context(), h.daemon.Platform(), ifVersion, change)
 	if err != nil {
-		return fail(w, err)
+		return writeError(w, err)
 	}
-	return writeJSON(w, http.StatusOK, ok)
+	return writeJSON(w, http.StatusOK, result)
 }
 
-func (a *admin) status(w http.ResponseWriter, r bunrouter.Request) error {
-	v, version, err := current(r.Context(), a.daemon.Platform())
+func (h *handler) status(w http.ResponseWriter, r bunrouter.Request) error {
+	config, version, err := current(r.Context(), h.daemon.Platform())
 	if err != nil {
-		return fail(w, err)
+		return writeError(w, err)
 	}
-	s := Status{Accepted: version, Preset: v.ActivePreset().Name, Change: v.Change, Outs: v.Exclusions, Everywhere: true}
-	fleet := a.daemon.Fleet(r.Context())
+	s := Status{AcceptedVersion: version, Preset: config.ActivePreset().Name, Change: config.Change, Exclusions: config.Exclusions, InForceEverywhere: true}
+	fleet := h.daemon.Fleet(r.Context())
 	for _, d := range fleet.Daemons {
-		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, Site: d.Config}
+		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, ConfigVersion: d.Config}
 		switch {
-		case row.Site >= s.Accepted:
+		case row.ConfigVersion >= s.AcceptedVersion:
 		case !d.Reaches:
-			row.Behind = "it does not reach the platform"
+			row.BehindReason = "it does not reach the platform"
 		default:
-			row.Behind = "the change is on its way"
+			row.BehindReason = "the change is on its way"
 		}
-		s.Everywhere = s.Everywhere && row.Behind == ""
+		s.InForceEverywhere = s.InForceEverywhere && row.BehindReason == ""
 		s.Daemons = append(s.Daemons, row)
 	}
 	for _, address := range fleet.Missing {
-		s.Everywhere = false
-		s.Daemons = append(s.Daemons, DaemonStatus{Name: address, Behind: "it does not answer: lost, or cut off"})
+		s.InForceEverywhere = false
+		s.Daemons = append(s.Daemons, DaemonStatus{Name: address, BehindReason: "it does not answer: lost, or cut off"})
 	}
 	return writeJSON(w, http.StatusOK, s)
 }
 
-func (a *admin) burn(w http.ResponseWriter, r bunrouter.Request) error {
-	v, _, err := current(r.Context(), a.daemon.Platform())
+func (h *handler) burn(w http.ResponseWriter, r bunrouter.Request) error {
+	config, _, err := current(r.Context(), h.daemon.Platform())
 	if err != nil {
-		return fail(w, err)
+		return writeError(w, err)
 	}
-	fleet := a.daemon.Fleet(r.Context())
-	out := Burn{Missing: fleet.Missing}
+	fleet := h.daemon.Fleet(r.Context())
+	report := BurnReport{Missing: fleet.Missing}
 	var counts []burn.Counts
 	for _, d := range fleet.Daemons {
 		counts = append(counts, d.Counts)
 	}
-	var levels []burn.Objective
-	for _, s := range v.Services {
-		levels = append(levels, burn.Objective{Service: s.Name, AnsweredShare: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
+	var objectives []burn.Objective
+	for _, s := range config.Services {
+		objectives = append(objectives, burn.Objective{Service: s.Name, AnsweredShare: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
 	}
-	out.Rows = burn.Rates(levels, counts)
-	return writeJSON(w, http.StatusOK, out)
+	report.Rows = burn.Rates(objectives, counts)
+	return writeJSON(w, http.StatusOK, report)
 }
 
 func decode(r bunrouter.Request, into any) error {
-	d := json.NewDecoder(io.LimitReader(r.Body, maxFile))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
 		return &Error{Op: "request", Kind: Invalid, Err: err}
@@ -178,23 +179,23 @@
 	return nil
 }
 
-type failure struct {
+type errorBody struct {
 	Kind    Kind   `json:"kind"`
 	Message string `json:"message"`
 }
 
-func fail(w http.ResponseWriter, err error) error {
-	f := failure{Kind: Unreachable, Message: err.Error()}
+func writeError(w http.ResponseWriter, err error) error {
+	body := errorBody{Kind: Unreachable, Message: err.Error()}
 	var e *Error
 	if errors.As(err, &e) {
-		f.Kind = e.Kind
-		f.Message = e.Err.Error()
+		body.Kind = e.Kind
+		body.Message = e.Err.Error()
 	}
-	code := map[Kind]int{Conflict: http.StatusConflict, Invalid: http.StatusUnprocessableEntity, Denied: http.StatusUnauthorized}[f.Kind]
+	code := map[Kind]int{Conflict: http.StatusConflict, Invalid: http.StatusUnprocessableEntity, Denied: http.StatusUnauthorized}[body.Kind]
 	if code == 0 {
 		code = http.StatusServiceUnavailable
 	}
-	return writeJSON(w, code, f)
+	return writeJSON(w, code, body)
 }
 
 func writeJSON(w http.ResponseWriter, code int, v any) error {
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -11,119 +11,119 @@
 	"catkinstep/io/process/native"
 )
 
-// Platform is what a change needs of the platform.
+// Platform is the part of the platform's client that changes need.
 type Platform interface {
 	Read(ctx context.Context, name string) (*plat.Object, error)
 	Write(ctx context.Context, name string, ifVersion uint64, value []byte) (*plat.Object, error)
 }
 
-// settlePatience bounds the tries to find out what became of a write whose
-// reply was lost.
-const settlePatience = 3 * time.Second
+// settleTimeout limits how long Change tries to find out whether a write without a reply
+// took effect.
+const settleTimeout = 3 * time.Second
 
-// Accepted says which version a change became.
-type Accepted struct {
+// AcceptedChange is a change of the configuration with the version that resulted from it.
+type AcceptedChange struct {
 	Version uint64 `json:"version"`
 	Change  string `json:"change"`
 	Preset  string `json:"preset"`
 }
 
-// current reads the configuration; version 0 means that there is none.
+// current reads the stored configuration. Version 0 means that there is none.
 func current(ctx context.Context, p Platform) (s site.Site, version uint64, err error) {
-	have, err := p.Read(ctx, native.SiteObject)
+	object, err := p.Read(ctx, native.SiteObject)
 	if err != nil {
 		return s, 0, &Error{Op: "read", Kind: Unreachable, Err: err}
 	}
-	if have == nil {
+	if object == nil {
 		return s, 0, nil
 	}
-	if s, err = site.Unmarshal(have.Value); err != nil {
+	if s, err = site.Unmarshal(object.Value); err != nil {
 		return s, 0, &Error{Op: "read", Kind: Invalid, Err: err}
 	}
-	return s, have.Version, nil
+	return s, object.Version, nil
 }
 
-// Change reads the configuration, changes it, and writes it on the condition
-// that nobody else did in between. With ifVersion above 0 it must also be at
-// that version, as an operator saw it.
-func Change(ctx context.Context, p Platform, ifVersion uint64, change func(site.Site) (site.Site, error)) (Accepted, error) {
-	old, version, err := current(ctx, p)
+// Change reads the configuration, changes it, and writes it unless it was written in between.
+// If ifVersion is not 0, the configuration must also be at that version, which is the one
+// that the operator has seen.
+func Change(ctx context.Context, p Platform, ifVersion uint64, change func(site.Site) (site.Site, error)) (AcceptedChange, error) {
+	previous, version, err := current(ctx, p)
 	if err != nil {
-		return Accepted{}, err
+		return AcceptedChange{}, err
 	}
 	if ifVersion != 0 && ifVersion != version {
-		return Accepted{}, conflict(old, version)
+		return AcceptedChange{}, newConflictError(previous, version)
 	}
-	next, err := change(old)
+	next, err := change(previous)
 	if err != nil {
-		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
+		return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
 	next = next.WithWriteID(rand.Text())
 	value, err := next.Marshal()
 	if err != nil {
-		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
+		return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
-	o, err := p.Write(ctx, native.SiteObject, version, value)
+	written, err := p.Write(ctx, native.SiteObject, version, value)
 	switch {
 	case err == nil:
-		return accepted(next, o.Version), nil
+		return newAcceptedChange(next, written.Version), nil
 	case plat.Is(err, plat.Conflict):
-		return lost(ctx, p, next)
+		return resolveConflict(ctx, p, next)
 	}
-	return settle(ctx, p, next, version, err)
+	return resolveLostReply(ctx, p, next, version, err)
 }
 
-// lost tells a loser who won. The winner may be our own write, whose reply
-// never came and which a lower layer has not repeated.
-func lost(ctx context.Context, p Platform, next site.Site) (Accepted, error) {
-	o, err := p.Read(ctx, native.SiteObject)
-	if err != nil || o == nil {
-		return Accepted{}, &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("another change came first, and it cannot be read: %w", err)}
+// resolveConflict returns an error that names the change that caused the conflict. If that is
+// our own write, of which the reply was lost, the change is accepted.
+func resolveConflict(ctx context.Context, p Platform, next site.Site) (AcceptedChange, error) {
+	stored, err := p.Read(ctx, native.SiteObject)
+	if err != nil || stored == nil {
+		return AcceptedChange{}, &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("another change was made first, and it cannot be read: %w", err)}
 	}
-	now, err := site.Unmarshal(o.Value)
+	latest, err := site.Unmarshal(stored.Value)
 	if err != nil {
-		return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
+		return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
-	if now.WriteID == next.WriteID {
-		return accepted(next, o.Version), nil
+	if latest.WriteID == next.WriteID {
+		return newAcceptedChange(next, stored.Version), nil
 	}
-	return Accepted{}, conflict(now, o.Version)
+	return AcceptedChange{}, newConflictError(latest, stored.Version)
 }
 
-// settle finds out what became of a write without a reply: it reads again, and
-// knows its own write by the writer's token. Writing again blindly could undo
-// what somebody did in between.
-func settle(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (Accepted, error) {
-	ctx, cancel := context.WithTimeout(ctx, settlePatience)
+// resolveLostReply finds out whether a write without a reply took effect. It reads the
+// configuration and recognises its own write by the write ID. It does not repeat the write,
+// since that could undo a change that somebody made in between.
+func resolveLostReply(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (AcceptedChange, error) {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		o, err := p.Read(ctx, native.SiteObject)
-		if err != nil || o == nil || o.Version == version {
-			wait(ctx, 100*time.Millisecond)
+		stored, err := p.Read(ctx, native.SiteObject)
+		if err != nil || stored == nil || stored.Version == version {
+			sleep(ctx, 100*time.Millisecond)
 			continue
 		}
-		now, err := site.Unmarshal(o.Value)
+		latest, err := site.Unmarshal(stored.Value)
 		if err != nil {
-			return Accepted{}, &Error{Op: "change", Kind: Invalid, Err: err}
+			return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 		}
-		if now.WriteID == next.WriteID {
-			return accepted(next, o.Version), nil
+		if latest.WriteID == next.WriteID {
+			return newAcceptedChange(next, stored.Version), nil
 		}
-		return Accepted{}, &Error{Op: "change", Kind: Unsure,
-			Err: fmt.Errorf("no reply, and then came %q (version %d), which may build on it: look at status", now.Change, o.Version)}
+		return AcceptedChange{}, &Error{Op: "change", Kind: Unsure,
+			Err: fmt.Errorf("no reply to the write, and the configuration is now at %q (version %d), which may include this change; check the status", latest.Change, stored.Version)}
 	}
-	return Accepted{}, &Error{Op: "change", Kind: Unsure, Err: fmt.Errorf("it may still take effect: look at status before trying again: %w", cause)}
+	return AcceptedChange{}, &Error{Op: "change", Kind: Unsure, Err: fmt.Errorf("the change may still take effect; check the status before trying again: %w", cause)}
 }
 
-func conflict(s site.Site, version uint64) error {
-	return &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("%q came first (version %d); nothing was changed", s.Change, version)}
+func newConflictError(s site.Site, version uint64) error {
+	return &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("the change %q was made first (version %d); nothing was changed", s.Change, version)}
 }
 
-func accepted(s site.Site, version uint64) Accepted {
-	return Accepted{Version: version, Change: s.Change, Preset: s.ActivePreset().Name}
+func newAcceptedChange(s site.Site, version uint64) AcceptedChange {
+	return AcceptedChange{Version: version, Change: s.Change, Preset: s.ActivePreset().Name}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -15,7 +15,7 @@
 	"catkinstep/io/standin/store"
 )
 
-func begin() (*store.Store, *plat.Client, func()) {
+func newTestPlatform() (*store.Store, *plat.Client, func()) {
 	s := store.New()
 	h := httptest.NewServer(s)
 	c := plat.New(h.Listener.Addr().String(), "duluth")
@@ -26,14 +26,14 @@
 	return s, c, h.Close
 }
 
-// Guards against an operator's change that vanishes under another's.
-func TestRacingOperators(t *testing.T) {
-	Convey("Of a hundred racing changes none is lost without a word", t, func() {
-		s, _, stop := begin()
+// Guards against a change that is overwritten by a concurrent one without an error.
+func TestConcurrentChanges(t *testing.T) {
+	Convey("Each of a hundred concurrent changes is either stored or refused with a conflict", t, func() {
+		platform, _, stop := newTestPlatform()
 		defer stop()
-		address := strings.TrimPrefix(httptest.NewServer(s).URL, "http://")
+		address := strings.TrimPrefix(httptest.NewServer(platform).URL, "http://")
 		var mu sync.Mutex
-		var kept []string
+		var accepted []string
 		refused := 0
 		var wg sync.WaitGroup
 		for operator := range 2 {
@@ -41,44 +41,44 @@
 			wg.Go(func() {
 				for n := range 50 {
 					host := fmt.Sprintf("10.%d.0.%d", operator, n)
-					_, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithExclusion(site.Exclusion{Host: host}) })
+					_, err := Change(context.Background(), c, 0, func(stored site.Site) (site.Site, error) { return stored.WithExclusion(site.Exclusion{Host: host}) })
 					mu.Lock()
 					switch {
 					case err == nil:
-						kept = append(kept, host)
+						accepted = append(accepted, host)
 					case Is(err, Conflict) && strings.Contains(err.Error(), "out 10."):
 						refused++
 					default:
-						t.Errorf("neither kept nor refused: %v", err)
+						t.Errorf("neither accepted nor refused: %v", err)
 					}
 					mu.Unlock()
 				}
 			})
 		}
 		wg.Wait()
-		data, _ := s.Value("site")
-		v, err := site.Unmarshal(data)
+		data, _ := platform.Value("site")
+		stored, err := site.Unmarshal(data)
 		So(err, ShouldBeNil)
-		So(len(kept)+refused, ShouldEqual, 100)
-		So(v.Exclusions, ShouldHaveLength, len(kept))
-		for _, host := range kept {
-			So(v.HostExcluded(host+":9000"), ShouldBeTrue)
+		So(len(accepted)+refused, ShouldEqual, 100)
+		So(stored.Exclusions, ShouldHaveLength, len(accepted))
+		for _, host := range accepted {
+			So(stored.HostExcluded(host+":9000"), ShouldBeTrue)
 		}
 	})
 }
 
-// Guards against an accepted change that its operator takes for failed.
-func TestReplyLostAfterAChange(t *testing.T) {
+// Guards against a change that is reported as failed although it was stored.
+func TestLostReplyAndStaleVersion(t *testing.T) {
 	Convey("An operator's own write is recognised after a lost reply", t, func() {
-		s, c, stop := begin()
+		platform, c, stop := newTestPlatform()
 		defer stop()
-		s.SetFaults(store.Faults{LoseReplies: 1})
+		platform.SetFaults(store.Faults{LoseReplies: 1})
 		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
 		So(a.Preset, ShouldEqual, "peak")
 	})
-	Convey("An operator with stale data is refused, with the change that came first", t, func() {
-		_, c, stop := begin()
+	Convey("A change to a stale version is refused, and the error names the newer change", t, func() {
+		_, c, stop := newTestPlatform()
 		defer stop()
 		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
--- a/io/process/admin/client.go
+++ b/io/process/admin/client.go
@@ -12,83 +12,83 @@
 	"catkinstep/core/version/site"
 )
 
-// Client is the command line's way to a daemon.
+// Client calls the operators' interface of a daemon for the command line.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL    string
+	token      string
+	httpClient *http.Client
 }
 
-// NewClient returns a client of a daemon's operator address.
+// NewClient returns a client of the daemon with an operators' address. The token may be empty.
 func NewClient(address, token string) *Client {
-	return &Client{base: "http://" + address, token: token, http: &http.Client{Timeout: 10 * time.Second}}
+	return &Client{baseURL: "http://" + address, token: token, httpClient: &http.Client{Timeout: 10 * time.Second}}
 }
 
-// Apply sends a site file.
-func (c *Client) Apply(ctx context.Context, file string, data []byte) (Accepted, error) {
-	var a Accepted
+// Apply puts a site file in force. The file name is for errors.
+func (c *Client) Apply(ctx context.Context, file string, data []byte) (AcceptedChange, error) {
+	var a AcceptedChange
 	err := c.call(ctx, http.MethodPost, "/apply?"+url.Values{"file": {file}}.Encode(), data, &a)
 	return a, err
 }
 
-// Preset puts a preset in force.
-func (c *Client) Preset(ctx context.Context, name string) (Accepted, error) {
+// UsePreset makes a preset the active one.
+func (c *Client) UsePreset(ctx context.Context, name string) (AcceptedChange, error) {
 	return c.change(ctx, "/preset", map[string]any{"name": name})
 }
 
-// Out marks a data centre or host out.
-func (c *Client) Out(ctx context.Context, o site.Exclusion) (Accepted, error) {
-	return c.change(ctx, "/out", map[string]any{"dataCentre": o.DataCentre, "host": o.Host})
+// Exclude takes a data centre or host out of service.
+func (c *Client) Exclude(ctx context.Context, exclusion site.Exclusion) (AcceptedChange, error) {
+	return c.change(ctx, "/out", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
 }
 
-// In takes a mark away.
-func (c *Client) In(ctx context.Context, o site.Exclusion) (Accepted, error) {
-	return c.change(ctx, "/in", map[string]any{"dataCentre": o.DataCentre, "host": o.Host})
+// RemoveExclusion puts a data centre or host back into service.
+func (c *Client) RemoveExclusion(ctx context.Context, exclusion site.Exclusion) (AcceptedChange, error) {
+	return c.change(ctx, "/in", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
 }
 
-// Status asks what is in force where.
+// Status returns which configuration each daemon has in force.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var s Status
 	err := c.call(ctx, http.MethodGet, "/status", nil, &s)
 	return s, err
 }
 
-// Burn asks for the burn report.
-func (c *Client) Burn(ctx context.Context) (Burn, error) {
-	var b Burn
+// BurnReport returns the burn report of all daemons.
+func (c *Client) BurnReport(ctx context.Context) (BurnReport, error) {
+	var b BurnReport
 	err := c.call(ctx, http.MethodGet, "/burn", nil, &b)
 	return b, err
 }
 
-func (c *Client) change(ctx context.Context, path string, in any) (Accepted, error) {
+func (c *Client) change(ctx context.Context, path string, in any) (AcceptedChange, error) {
 	data, err := json.Marshal(in)
 	if err != nil {
-		return Accepted{}, &Error{Op: path, Kind: Invalid, Err: err}
+		return AcceptedChange{}, &Error{Op: path, Kind: Invalid, Err: err}
 	}
-	var a Accepted
+	var a AcceptedChange
 	err = c.call(ctx, http.MethodPost, path, data, &a)
 	return a, err
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return &Error{Op: path, Kind: Invalid, Err: err}
 	}
 	if c.token != "" {
 		req.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return &Error{Op: path, Kind: Unreachable, Err: err}
 	}
-	defer resp.Body.Close() //nolint:errcheck // all that counts has been read
+	defer resp.Body.Close() //nolint:errcheck // the body has been read
 	if resp.StatusCode != http.StatusOK {
-		var f failure
-		if err := json.NewDecoder(resp.Body).Decode(&f); err != nil {
+		var failure errorBody
+		if err := json.NewDecoder(resp.Body).Decode(&failure); err != nil {
 			return &Error{Op: path, Kind: Unreachable, Err: errors.New(resp.Status)}
 		}
-		return &Error{Op: path, Kind: f.Kind, Err: errors.New(f.Message)}
+		return &Error{Op: path, Kind: failure.Kind, Err: errors.New(failure.Message)}
 	}
 	if err := json.NewDecoder(resp.Body).Decode(out); err != nil {
 		return &Error{Op: path, Kind: Unreachable, Err: err}
--- a/io/process/admin/doc.go
+++ b/io/process/admin/doc.go
@@ -1,14 +1,14 @@
-// Package admin is the operator's interface of a daemon: changes of the
-// configuration, which are conditional updates of one platform object, the
-// status of the whole fleet, the burn report, and the daemon's metrics.
+// Package admin implements the operators' HTTP interface of a daemon: changes of the
+// configuration, which are conditional updates of one platform object, the status of all
+// daemons, the report on error budgets (the burn report), and the daemon's metrics.
 //
 // # Usage
 //
-//	native.Start(prefs, native.WithOperator(admin.Handler))
+//	native.Start(prefs, native.WithOperatorHandler(admin.Handler))
 //
 //	c := admin.NewClient("127.0.0.1:7200", token)
-//	r, err := c.Preset(ctx, "peak")
+//	r, err := c.UsePreset(ctx, "peak")
 //
-// Errors are of type *Error. Conflict means that somebody else's change came
-// first, and names it; nothing was changed then.
+// Errors are of type *Error. Kind Conflict means that another operator changed the
+// configuration first and that nothing was changed; the message names the other change.
 package admin
--- a/io/process/admin/error.go
+++ b/io/process/admin/error.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Conflict    Kind = "conflict"    // another change came first
-	Invalid     Kind = "invalid"     // the change is wrong
-	Unsure      Kind = "unsure"      // the platform did not say whether it took effect
+	Conflict    Kind = "conflict"    // another change was made first
+	Invalid     Kind = "invalid"     // the change is not valid
+	Unsure      Kind = "unsure"      // it is unknown whether the change took effect
 	Unreachable Kind = "unreachable" // the platform or the daemon does not answer
-	Denied      Kind = "denied"      // the token is wrong
+	Denied      Kind = "denied"      // the token is missing or wrong
 )
 
 // Error is the error type of this package.
@@ -30,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is tells whether an error is of this package and of a kind.
+// Is reports whether an error is an *Error of this package with the given kind.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/io/process/logs/logs.go
+++ b/io/process/logs/logs.go
@@ -1,6 +1,5 @@
-// Package logs writes structured lines to a writer without ever blocking who
-// logs: lines wait in a bounded queue, and what does not fit is dropped and
-// counted, with a line that says how many.
+// Package logs provides an io.Writer for log lines that never blocks the caller. Lines wait
+// in a bounded queue. Lines that do not fit are dropped, and a log line reports how many.
 //
 // # Usage
 //
@@ -17,32 +16,32 @@
 )
 
 const (
-	// lines is how many lines may wait: about a second of the most that one
-	// daemon was seen to write when all requests fail.
-	lines = 512
-	// perSecond bounds the volume: lines beyond it are dropped and counted, so
-	// that a storm of refusals costs little. 200 lines are about 60 KB a second.
-	perSecond = 200
+	// queueCapacity is how many lines may wait. That is about as many as a daemon was
+	// measured to write in a second while all requests failed.
+	queueCapacity = 512
+	// maxLinesPerSecond limits the volume, so that logging stays cheap while very many
+	// requests are refused; further lines are dropped and counted. 200 lines are about 60 KB.
+	maxLinesPerSecond = 200
 )
 
 // Writer is an io.Writer that never blocks.
 type Writer struct {
-	queue   chan []byte
-	done    chan struct{}
-	now     func() time.Time
-	dropped atomic.Int64
-	total   atomic.Int64
+	queue           chan []byte
+	done            chan struct{}
+	now             func() time.Time
+	unreportedDrops atomic.Int64
+	totalDrops      atomic.Int64
 }
 
-// Option changes a Writer that New makes.
+// Option configures the Writer that New returns.
 type Option func(*Writer)
 
-// WithClock sets the clock by which the lines of a second are counted.
+// WithClock sets the clock for the limit of lines per second.
 func WithClock(now func() time.Time) Option { return func(l *Writer) { l.now = now } }
 
-// New returns a Writer that passes lines on to w.
+// New returns a Writer that copies lines to w in the background.
 func New(w io.Writer, opts ...Option) *Writer {
-	l := &Writer{queue: make(chan []byte, lines), done: make(chan struct{}), now: time.Now}
+	l := &Writer{queue: make(chan []byte, queueCapacity), done: make(chan struct{}), now: time.Now}
 	for _, o := range opts {
 		o(l)
 	}
@@ -50,22 +49,22 @@
 	return l
 }
 
-// Write takes one line.
+// Write queues one line, or drops it if the queue is full. It never fails.
 func (l *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
 	case l.queue <- line:
 	default:
-		l.dropped.Add(1)
-		l.total.Add(1)
+		l.unreportedDrops.Add(1)
+		l.totalDrops.Add(1)
 	}
 	return len(p), nil
 }
 
-// Dropped is the number of lines that were not written.
-func (l *Writer) Dropped() int64 { return l.total.Load() }
+// Dropped returns the number of lines that were dropped.
+func (l *Writer) Dropped() int64 { return l.totalDrops.Load() }
 
-// Close writes what waits. Nothing may be logged after it.
+// Close waits until the queued lines are written. Write must not be called after it.
 func (l *Writer) Close() {
 	close(l.queue)
 	<-l.done
@@ -73,26 +72,26 @@
 
 func (l *Writer) run(w io.Writer) {
 	defer close(l.done)
-	window, count := l.now(), 0
+	windowStart, count := l.now(), 0
 	for line := range l.queue {
 		now := l.now()
-		if now.Sub(window) >= time.Second {
-			window, count = now, 0
-			l.confess(w)
+		if now.Sub(windowStart) >= time.Second {
+			windowStart, count = now, 0
+			l.reportDrops(w)
 		}
-		if count++; count > perSecond {
-			l.dropped.Add(1)
-			l.total.Add(1)
+		if count++; count > maxLinesPerSecond {
+			l.unreportedDrops.Add(1)
+			l.totalDrops.Add(1)
 			continue
 		}
-		_, _ = w.Write(line) // a broken output has nowhere to be reported
+		_, _ = w.Write(line) // there is no other output to report a failure to
 	}
-	l.confess(w)
+	l.reportDrops(w)
 }
 
-// confess writes how many lines were dropped since it last did.
-func (l *Writer) confess(w io.Writer) {
-	if n := l.dropped.Swap(0); n > 0 {
+// reportDrops writes a line with the number of lines dropped since the last such report.
+func (l *Writer) reportDrops(w io.Writer) {
+	if n := l.unreportedDrops.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w, "{\"level\":\"WARN\",\"msg\":\"logs: lines dropped\",\"lines\":%d}\n", n)
 	}
 }
--- a/io/process/logs/logs_test.go
+++ b/io/process/logs/logs_test.go
@@ -11,40 +11,40 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// blocked is an output whose reader has stopped.
-type blocked struct{ let chan struct{} }
+// blockedWriter blocks until unblock is closed, as a pipe does whose reader has stopped.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
-	<-b.let
+func (b blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
 	return len(p), nil
 }
 
-// Guards against requests that wait for whoever reads the log.
-func TestBlockedOutputDelaysNobody(t *testing.T) {
-	Convey("Logging returns although nothing is written, and says later what was dropped", t, func() {
-		out := blocked{let: make(chan struct{})}
+// Guards against requests that wait because nothing reads the log output.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	Convey("Logging returns although the output blocks, and counts the dropped lines", t, func() {
+		out := blockedWriter{unblock: make(chan struct{})}
 		w := New(out)
 		log := slog.New(slog.NewJSONHandler(w, nil))
-		for i := range 4 * lines {
+		for i := range 4 * queueCapacity {
 			log.Info("request: refused, not run", "id", i)
 		}
-		So(w.Dropped(), ShouldBeGreaterThanOrEqualTo, 2*lines)
-		close(out.let)
+		So(w.Dropped(), ShouldBeGreaterThanOrEqualTo, 2*queueCapacity)
+		close(out.unblock)
 		w.Close()
 	})
 }
 
-func TestVolumeIsBounded(t *testing.T) {
-	Convey("Of a storm of lines a bounded part is written, with the number of the rest", t, func() {
+func TestLineRateIsLimited(t *testing.T) {
+	Convey("Lines over the limit are dropped, and their number is reported", t, func() {
 		var out bytes.Buffer
-		still := time.Unix(1000, 0)
-		w := New(&out, WithClock(func() time.Time { return still }))
-		for i := range lines {
+		fixed := time.Unix(1000, 0)
+		w := New(&out, WithClock(func() time.Time { return fixed }))
+		for i := range queueCapacity {
 			_, err := fmt.Fprintf(w, "{\"line\":%d}\n", i)
 			So(err, ShouldBeNil)
 		}
 		w.Close()
-		So(strings.Count(out.String(), "{\"line\""), ShouldEqual, perSecond)
-		So(out.String(), ShouldContainSubstring, fmt.Sprintf("\"lines\":%d}", lines-perSecond))
+		So(strings.Count(out.String(), "{\"line\""), ShouldEqual, maxLinesPerSecond)
+		So(out.String(), ShouldContainSubstring, fmt.Sprintf("\"lines\":%d}", queueCapacity-maxLinesPerSecond))
 	})
 }
--- a/io/process/native/daemon.go
+++ b/io/process/native/daemon.go
@@ -14,97 +14,101 @@
 )
 
 const (
-	// grace is how long a planned stop may take: the linger for balancers and
-	// twice the usual longest request.
-	grace = 10 * time.Second
-	// coldFactor and coldSlack bound what a cold server gets of all daemons in a
-	// second beside its own rate: what the stand-ins for servers bear.
+	// gracePeriod covers the time in which a stopping daemon still accepts connections, so
+	// that load balancers notice, and twice the usual longest request.
+	gracePeriod = 10 * time.Second
+	// coldFactor and coldSlack limit the requests that all daemons together send to a cold
+	// server in a second; see setup.Settings. The backend server stand-ins can handle as much.
 	coldFactor = 1.5
 	coldSlack  = 5
-	// retryShare is for sites whose preset names none; retryBurst is how many
-	// extra attempts all daemons may make at once.
+	// retryShare applies if the active preset sets none. retryBurst is how many retries all
+	// daemons together may make at once.
 	retryShare = 0.1
 	retryBurst = 40
-	// holdMost bounds a grant.
-	holdMost = 10 * time.Second
+	// maxGrantTTL is the longest time for which a grant is valid.
+	maxGrantTTL = 10 * time.Second
 )
 
-// Daemon is one running daemon of the product's own interface.
+// Daemon is a running daemon with the product's own interface.
 type Daemon struct {
 	*router.Router
-	prefs    prefs.Prefs
-	platform *plat.Client
-	operator *http.Server
-	end      context.CancelFunc
-	done     chan struct{}
-	err      error
+	prefs          prefs.Prefs
+	platform       *plat.Client
+	operatorServer *http.Server
+	cancel         context.CancelFunc
+	done           chan struct{}
+	err            error
 }
 
-// Option changes a Daemon that Start makes.
-type Option func(*start)
+// Option configures the Daemon that Start returns.
+type Option func(*startOptions)
 
-type start struct {
-	log      *slog.Logger
-	operator func(*Daemon) http.Handler
+type startOptions struct {
+	logger          *slog.Logger
+	operatorHandler func(*Daemon) http.Handler
 }
 
-// WithLogger sets where decisions are logged; by default they are dropped.
-func WithLogger(l *slog.Logger) Option { return func(s *start) { s.log = l } }
+// WithLogger sets the logger of the daemon's decisions. By default nothing is logged.
+func WithLogger(l *slog.Logger) Option { return func(options *startOptions) { options.logger = l } }
 
-// WithOperator serves the operator's interface by a handler.
-func WithOperator(h func(*Daemon) http.Handler) Option { return func(s *start) { s.operator = h } }
+// WithOperatorHandler makes the daemon serve the operators' interface with the handler that
+// newHandler returns.
+func WithOperatorHandler(newHandler func(*Daemon) http.Handler) Option {
+	return func(options *startOptions) { options.operatorHandler = newHandler }
+}
 
-// Settings are a settings file in the router's terms.
-func Settings(p prefs.Prefs) setup.Settings {
+// RouterSettings converts the settings file of a daemon to the settings of its router.
+func RouterSettings(p prefs.Prefs) setup.Settings {
 	return setup.Settings{
-		Name: p.Mesh, DataCentre: p.DataCentre, Callers: p.Callers, Mesh: p.Mesh, Seeds: p.Peers,
-		Grace: grace, ColdFactor: coldFactor, ColdSlack: coldSlack, RetryShare: retryShare, RetryBurst: retryBurst, HoldMost: holdMost,
-		BodyMost: int64(p.MaxBody),
+		Name: p.MeshAddress, DataCentre: p.DataCentre, CallerAddress: p.CallerAddress, MeshAddress: p.MeshAddress, Seeds: p.Peers,
+		GracePeriod: gracePeriod, ColdFactor: coldFactor, ColdSlack: coldSlack, RetryShare: retryShare, RetryBurst: retryBurst, MaxGrantTTL: maxGrantTTL,
+		MaxBodyBytes: int64(p.MaxBodyBytes),
 	}
 }
 
-// Start opens the daemon's addresses and runs it.
+// Start starts a daemon. It returns an error if the operators' address cannot be opened;
+// failures of the router are reported by Done and Err.
 func Start(p prefs.Prefs, opts ...Option) (*Daemon, error) {
-	s := start{log: slog.New(slog.DiscardHandler)}
+	options := startOptions{logger: slog.New(slog.DiscardHandler)}
 	for _, o := range opts {
-		o(&s)
+		o(&options)
 	}
-	d := &Daemon{prefs: p, platform: plat.New(p.Platform, p.DataCentre), done: make(chan struct{})}
-	d.Router = router.New(Settings(p), NewStore(d.platform), Protocol{}, router.WithLogger(s.log))
-	if s.operator != nil {
-		l, err := net.Listen("tcp", p.Operator)
+	d := &Daemon{prefs: p, platform: plat.New(p.PlatformAddress, p.DataCentre), done: make(chan struct{})}
+	d.Router = router.New(RouterSettings(p), NewStore(d.platform), Protocol{}, router.WithLogger(options.logger))
+	if options.operatorHandler != nil {
+		l, err := net.Listen("tcp", p.OperatorAddress)
 		if err != nil {
-			return nil, &Error{Op: "listen for operators", Kind: Address, Err: err}
+			return nil, &Error{Op: "listen for operators", Kind: ListenFailed, Err: err}
 		}
-		d.operator = &http.Server{Handler: s.operator(d), ReadHeaderTimeout: 5 * time.Second}
-		go func() { _ = d.operator.Serve(l) }()
+		d.operatorServer = &http.Server{Handler: options.operatorHandler(d), ReadHeaderTimeout: 5 * time.Second}
+		go func() { _ = d.operatorServer.Serve(l) }()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	d.end = cancel
+	d.cancel = cancel
 	go func() {
 		defer close(d.done)
 		d.err = d.Run(ctx)
-		d.closeOperator()
+		d.closeOperatorServer()
 	}()
 	return d, nil
 }
 
-func (d *Daemon) closeOperator() {
-	if d.operator != nil {
-		_ = d.operator.Close()
+func (d *Daemon) closeOperatorServer() {
+	if d.operatorServer != nil {
+		_ = d.operatorServer.Close()
 	}
 }
 
-// Prefs are the settings that the daemon was started with.
+// Prefs returns the settings that the daemon was started with.
 func (d *Daemon) Prefs() prefs.Prefs { return d.prefs }
 
-// Platform is the daemon's client of the platform.
+// Platform returns the daemon's client of the platform.
 func (d *Daemon) Platform() *plat.Client { return d.platform }
 
-// Dead is closed once the daemon has ended.
-func (d *Daemon) Dead() <-chan struct{} { return d.done }
+// Done returns a channel that is closed once the daemon has ended.
+func (d *Daemon) Done() <-chan struct{} { return d.done }
 
-// Err is why the daemon ended, or nil while it runs.
+// Err returns the error that ended the daemon, or nil while it runs.
 func (d *Daemon) Err() error {
 	select {
 	case <-d.done:
@@ -114,20 +118,20 @@
 	}
 }
 
-// Stop ends the daemon as planned: what was read is answered.
+// Stop shuts the daemon down gracefully: requests that have been read are answered.
 func (d *Daemon) Stop(ctx context.Context) error {
-	d.end()
+	d.cancel()
 	select {
 	case <-d.done:
 		return d.err
 	case <-ctx.Done():
-		return &Error{Op: "stop", Kind: Stopped, Err: ctx.Err()}
+		return &Error{Op: "stop", Kind: StopTimeout, Err: ctx.Err()}
 	}
 }
 
-// Kill ends the daemon at once, as SIGKILL ends a process: connections break.
+// Kill ends the daemon at once and breaks its connections, as SIGKILL does.
 func (d *Daemon) Kill() {
 	d.Abort()
-	d.end()
+	d.cancel()
 	<-d.done
 }
--- a/io/process/native/doc.go
+++ b/io/process/native/doc.go
@@ -1,14 +1,14 @@
-// Package native is the product's own interface to a daemon: its site file and
-// tables as objects of the platform's API, what callers and backend servers of
-// its own kind speak, and the daemon that "catkinstep serve" runs.
+// Package native implements the product's own interface: the store, which keeps the site and
+// the tables of key ranges as objects of the platform's API, the HTTP protocol of callers and
+// backend servers, and the daemon that "catkinstep serve" runs.
 //
-// The users' platform has an adapter of its own elsewhere; both drive the same
-// router. docs/SERVERS.md and docs/ERRORS.md describe the wire.
+// The users' platform has a separate adapter, package bridge; both use the same router.
+// docs/SERVERS.md and docs/ERRORS.md describe the protocol.
 //
 // # Usage
 //
 //	d, err := native.Start(prefs, native.WithLogger(logger))
-//	err = d.Stop(ctx) // as planned: no request is cut
+//	err = d.Stop(ctx) // graceful: requests that have been read are answered
 //
 // Errors are of type *Error.
 package native
--- a/io/process/native/error.go
+++ b/io/process/native/error.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
 // Kinds of errors.
 const (
-	Address Kind = "address" // an address could not be opened
-	Stopped Kind = "stopped" // the daemon did not stop in time
+	ListenFailed Kind = "address" // an address could not be opened
+	StopTimeout  Kind = "stopped" // the daemon did not stop in time
 )
 
 // Error is the error type of this package.
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -15,48 +15,49 @@
 	"catkinstep/io/connection/link"
 )
 
-// Paths of the calls that backend servers of the product's own kind take.
+// Paths at which backend servers accept calls of daemons.
 const (
 	GrantPath   = "/catkinstep/grant"
 	ReleasePath = "/catkinstep/release"
 )
 
-// Headers between callers and daemons, beside those of names.Default.
+// Headers between callers and daemons, in addition to those of names.Default.
 const (
-	HeaderKey     = "Catkinstep-Key"
-	HeaderTimeout = "Catkinstep-Timeout"
-	HeaderOutcome = "Catkinstep-Outcome"
-	HeaderServer  = "Catkinstep-Server"
-	headerIdem    = "Idempotency-Key"
+	HeaderKey            = "Catkinstep-Key"
+	HeaderTimeout        = "Catkinstep-Timeout"
+	HeaderOutcome        = "Catkinstep-Outcome"
+	HeaderServer         = "Catkinstep-Server"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// Outcomes that callers get.
+// Outcomes of a request, as reported to the caller.
 const (
 	OutcomeAnswered = "answered"
 	OutcomeNotRun   = "notRun"
 	OutcomeUnknown  = "unknown"
 )
 
-// Keys is the body of a grant or a release; both ends of the range are
+// KeyRangeRequest is the JSON body of a grant or a release. Both ends of the range are
 // inclusive.
-type Keys struct {
+type KeyRangeRequest struct {
 	From       int    `json:"from"`
 	To         int    `json:"to"`
 	Fence      uint64 `json:"fence"`
 	HoldMillis int64  `json:"holdMillis,omitempty"`
 	Handover   string `json:"handover,omitempty"`
-	// Origin says, with a grant, what the server can know of the keys.
+	// Origin is set for grants only. It determines what the server can know about the keys.
 	Origin grant.Origin `json:"origin,omitempty"`
 }
 
-// Failure is the JSON body of every answer that is not a server's.
-type Failure struct {
-	// Code is stable; docs/ERRORS.md lists them.
+// ErrorBody is the JSON body of every response that the daemon itself makes instead of a
+// backend server.
+type ErrorBody struct {
+	// Code identifies the error. Codes are stable; docs/ERRORS.md lists them.
 	Code string `json:"code"`
-	// Ran is notRun or unknown.
-	Ran       string `json:"ran"`
+	// Outcome is OutcomeNotRun or OutcomeUnknown.
+	Outcome   string `json:"ran"`
 	RequestID string `json:"requestId"`
-	// RetryAfter is when to come back, as a Go duration; empty when coming back
+	// RetryAfter is how long to wait before a retry, as a Go duration; empty if a retry
 	// does not help.
 	RetryAfter string `json:"retryAfter,omitempty"`
 }
@@ -64,21 +65,21 @@
 // Protocol implements router.Protocol.
 type Protocol struct{}
 
-// Names returns the header names.
+// Names returns the names of the headers between daemons and backend servers.
 func (Protocol) Names() names.Names { return names.Default() }
 
-// Grant builds the call that makes a server hold a range.
+// Grant builds the call that grants a range of keys to a server.
 func (Protocol) Grant(c grant.Call) link.Request {
-	return post(GrantPath, c.Address, Keys{From: c.From, To: c.To, Fence: c.Fence, HoldMillis: c.Hold.Milliseconds(), Handover: c.Handover, Origin: c.Origin})
+	return newPost(GrantPath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence, HoldMillis: c.Hold.Milliseconds(), Handover: c.Handover, Origin: c.Origin})
 }
 
-// Release builds the call that makes a server let go of a range.
+// Release builds the call that asks a server to release a range of keys.
 func (Protocol) Release(c grant.Call) link.Request {
-	return post(ReleasePath, c.Address, Keys{From: c.From, To: c.To, Fence: c.Fence})
+	return newPost(ReleasePath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence})
 }
 
-// Result sorts the answer to either call.
-func (Protocol) Result(a *link.Answer) (r grant.Result, handover string) {
+// Result classifies the response to a grant or a release.
+func (Protocol) Result(a *link.Answer) (result grant.Result, handover string) {
 	switch {
 	case a.Status == http.StatusOK:
 		return grant.Done, a.Header.Get(names.Default().Handover)
@@ -92,16 +93,16 @@
 	return grant.Unsure, ""
 }
 
-func post(path, address string, k Keys) link.Request {
-	body, _ := json.Marshal(k) // numbers and a string always marshal
+func newPost(path, address string, k KeyRangeRequest) link.Request {
+	body, _ := json.Marshal(k) // numbers and strings always marshal
 	return link.Request{Method: http.MethodPost, Target: path, Host: address, Body: body, Control: true,
 		Header: http.Header{"Content-Type": {"application/json"}}}
 }
 
-// ID takes the caller's id, or makes one. A booking that is sent again under its id is
-// the same booking where a service is divided by key: the key's holder knows the ids.
+// ID returns the ID that the caller sent, or a random one. In a keyed service a retry with
+// the same ID runs once, since the holder of the key knows the IDs of earlier requests.
 func (Protocol) ID(h http.Header) string {
-	for _, name := range []string{headerIdem, names.Default().ID} {
+	for _, name := range []string{headerIdempotencyKey, names.Default().ID} {
 		if id := h.Get(name); id != "" {
 			return id
 		}
@@ -109,54 +110,54 @@
 	return rand.Text()
 }
 
-// Patience is how long the caller waits, if it says.
+// Patience returns how long the caller waits for the response, if the request says so.
 func (Protocol) Patience(h http.Header) (time.Duration, bool) {
 	d, err := time.ParseDuration(h.Get(HeaderTimeout))
 	return d, err == nil && d > 0
 }
 
-// Key is the number of the key that a request is about.
+// Key returns the hash of the key that a request refers to, and whether there is a key.
 func (p Protocol) Key(s config.Service, path string, h http.Header) (int, bool) {
-	text := h.Get(HeaderKey)
+	key := h.Get(HeaderKey)
 	switch {
 	case s.KeyByID:
-		text = p.ID(h)
+		key = p.ID(h)
 	case s.KeySegment > 0:
-		text = segment(path, s.KeySegment)
+		key = pathSegment(path, s.KeySegment)
 	}
-	return grant.HashKey(text), text != ""
+	return grant.HashKey(key), key != ""
 }
 
-// segment returns the nth segment of a path, or nothing.
-func segment(path string, n int) string {
+// pathSegment returns the nth segment of a path, counted from 1, or "" if there is none.
+func pathSegment(path string, n int) string {
 	path, _, _ = strings.Cut(path, "?")
-	parts := strings.Split(strings.Trim(path, "/"), "/")
-	if n > len(parts) {
+	segments := strings.Split(strings.Trim(path, "/"), "/")
+	if n > len(segments) {
 		return ""
 	}
-	return parts[n-1]
+	return segments[n-1]
 }
 
-// Answered adds what callers get beside a server's own answer.
+// Answered adds the daemon's headers to the response of a backend server.
 func (Protocol) Answered(h http.Header, id, server string) {
 	h.Set(names.Default().ID, id)
 	h.Set(HeaderOutcome, OutcomeAnswered)
 	h.Set(HeaderServer, server)
 }
 
-// Refused forms an answer that is not a server's.
-func (Protocol) Refused(f caller.Refusal) (http.Header, []byte) {
-	out := Failure{Code: f.Reason, Ran: OutcomeNotRun, RequestID: f.ID}
-	if f.MaybeRan {
-		out.Ran = OutcomeUnknown
+// Refused builds the response to a request that no backend server answered.
+func (Protocol) Refused(refusal caller.Refusal) (http.Header, []byte) {
+	errBody := ErrorBody{Code: refusal.Reason, Outcome: OutcomeNotRun, RequestID: refusal.ID}
+	if refusal.MaybeRan {
+		errBody.Outcome = OutcomeUnknown
 	}
 	h := http.Header{"Content-Type": {"application/json"}}
-	if f.After > 0 {
-		out.RetryAfter = f.After.Round(time.Millisecond).String()
-		h.Set("Retry-After", strconv.Itoa(max(1, int((f.After+time.Second-1)/time.Second))))
+	if refusal.After > 0 {
+		errBody.RetryAfter = refusal.After.Round(time.Millisecond).String()
+		h.Set("Retry-After", strconv.Itoa(max(1, int((refusal.After+time.Second-1)/time.Second))))
 	}
-	h.Set(names.Default().ID, f.ID)
-	h.Set(HeaderOutcome, out.Ran)
-	body, _ := json.Marshal(out) // strings always marshal
+	h.Set(names.Default().ID, refusal.ID)
+	h.Set(HeaderOutcome, errBody.Outcome)
+	body, _ := json.Marshal(errBody) // strings always marshal
 	return h, body
 }
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -11,26 +11,26 @@
 	"catkinstep/core/version/site"
 )
 
-// configName is the only configuration's name.
+// configName is the name of the configuration object; there is only one.
 const configName = "main"
 
-// translate turns the stored site into the objects of a kind that daemons act
-// on. All bear the version at which the site was read.
-func translate(kind news.Kind, s site.Site, version uint64) ([]news.Item, error) {
-	var out []news.Item
-	add := func(name string, v any) error {
-		value, err := json.Marshal(v)
+// siteItems converts the stored site to the items of a kind. The version of the stored site
+// becomes the revision of all items.
+func siteItems(kind news.Kind, s site.Site, version uint64) ([]news.Item, error) {
+	var items []news.Item
+	add := func(name string, object any) error {
+		value, err := json.Marshal(object)
 		if err == nil {
-			out = append(out, news.Item{Name: name, Revision: version, Value: value})
+			items = append(items, news.Item{Name: name, Revision: version, Value: value})
 		}
 		return err
 	}
 	switch kind {
 	case news.Config:
-		return out, add(configName, configOf(s, version))
+		return items, add(configName, configOf(s, version))
 	case news.Servers:
-		for _, v := range serversOf(s) {
-			if err := add(v.ID, v); err != nil {
+		for _, object := range serversOf(s) {
+			if err := add(object.ID, object); err != nil {
 				return nil, err
 			}
 		}
@@ -44,52 +44,54 @@
 		}
 	default:
 	}
-	return out, nil
+	return items, nil
 }
 
-// configOf makes two routes of each service: one for the methods that may run
-// more than once, and one for all others.
+// configOf returns the configuration of a site. Each service gets two routes: one for its
+// idempotent methods, and one for all others.
 func configOf(s site.Site, version uint64) config.Config {
 	c := config.Config{Version: version, RetryShare: s.ActivePreset().RetryShare, DisableRebalancing: s.ActivePreset().DisableRebalancing}
-	for _, v := range s.Services {
+	for _, svc := range s.Services {
 		r := config.Route{
-			Name: v.Name, Host: config.AnyHost, Prefix: "/" + v.Name + "/", StripPrefix: "/" + v.Name,
-			Destinations: []config.Destination{{Service: v.Name, Weight: 1}},
-			Timeout:      v.DefaultTimeout, LatencyTarget: min(v.DefaultTimeout, aimOf(v)), MaxAttempts: v.MaxAttempts, Priority: bookingPriority,
+			Name: svc.Name, Host: config.AnyHost, Prefix: "/" + svc.Name + "/", StripPrefix: "/" + svc.Name,
+			Destinations: []config.Destination{{Service: svc.Name, Weight: 1}},
+			Timeout:      svc.DefaultTimeout, LatencyTarget: min(svc.DefaultTimeout, latencyTarget(svc)), MaxAttempts: svc.MaxAttempts, Priority: nonIdempotentPriority,
 		}
 		c.Routes = append(c.Routes, r)
-		r.Name, r.Methods, r.Idempotent, r.Priority = v.Name+"Lookups", v.IdempotentMethods, true, lookupPriority
+		r.Name, r.Methods, r.Idempotent, r.Priority = svc.Name+"Lookups", svc.IdempotentMethods, true, idempotentPriority
 		c.Routes = append(c.Routes, r)
-		c.Services = append(c.Services, config.Service{Name: v.Name, MaxConnections: v.MaxConnections, Keyed: v.Keyed, KeySegment: v.KeySegment, KeyByID: v.KeyByID, ColdPeriod: v.ColdPeriod, ColdRate: v.ColdRate})
+		c.Services = append(c.Services, config.Service{Name: svc.Name, MaxConnections: svc.MaxConnections, Keyed: svc.Keyed, KeySegment: svc.KeySegment, KeyByID: svc.KeyByID, ColdPeriod: svc.ColdPeriod, ColdRate: svc.ColdRate})
 	}
 	return c
 }
 
 const (
-	// What must not run twice goes before what can be asked again.
-	bookingPriority = 1
-	lookupPriority  = 2
-	// aimFactor is how many times the service level's latency a request may wait:
-	// a late answer still helps its caller, unlike on a platform that says what
-	// lateness costs.
-	aimFactor = 4
+	// Requests that must not run twice come before those that the caller can simply retry.
+	nonIdempotentPriority = 1
+	idempotentPriority    = 2
+	// latencyTargetFactor is the latency target of a route, as a multiple of the latency
+	// threshold of its service. It is above 1 because a late answer still helps the caller,
+	// unlike on a platform that specifies what late answers cost.
+	latencyTargetFactor = 4
 )
 
-func aimOf(v site.Service) time.Duration { return aimFactor * v.Objectives.LatencyThreshold }
+func latencyTarget(svc site.Service) time.Duration {
+	return latencyTargetFactor * svc.Objectives.LatencyThreshold
+}
 
-// serversOf lists the site's servers. They do not register, so nothing tells
-// two lives at one address apart but their answers.
+// serversOf lists the servers of a site. They do not register themselves, so only their
+// responses tell two instances at the same address apart.
 func serversOf(s site.Site) []fleet.Server {
-	var out []fleet.Server
+	var servers []fleet.Server
 	for _, d := range s.DataCentres {
-		for _, v := range d.Servers {
-			service, _ := s.Service(v.Service)
-			out = append(out, fleet.Server{ID: ServerID(v.Address), Address: v.Address, Service: v.Service, DataCentre: d.Name,
-				Slots: service.Slots, Draining: s.HostExcluded(v.Address)})
+		for _, server := range d.Servers {
+			service, _ := s.Service(server.Service)
+			servers = append(servers, fleet.Server{ID: ServerID(server.Address), Address: server.Address, Service: server.Service, DataCentre: d.Name,
+				Slots: service.Slots, Draining: s.HostExcluded(server.Address)})
 		}
 	}
-	return out
+	return servers
 }
 
-// ServerID names a server by its address.
+// ServerID returns the ID of the server at an address.
 func ServerID(address string) string { return strings.ReplaceAll(address, ":", "-") }
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -11,100 +11,102 @@
 	"catkinstep/io/connection/plat"
 )
 
-// SiteObject is the object that holds the site.
+// SiteObject is the name of the object that holds the site.
 const SiteObject = "site"
 
-// prefixes are the names of the objects that a kind is made of. Three kinds are
-// all read from the site.
-var prefixes = map[news.Kind]string{
+// objectPrefixes maps each kind to the prefix of its object names. Three kinds are derived
+// from the site object.
+var objectPrefixes = map[news.Kind]string{
 	news.Config: SiteObject, news.Servers: SiteObject, news.Outs: SiteObject,
 	news.Daemons: "daemons/", news.Tables: "tables/",
 }
 
-// Store is the product's own objects as daemons read and write them. It
-// implements router.Store.
+// Store reads and writes the product's own objects on the platform. It implements
+// router.Store.
 type Store struct{ client *plat.Client }
 
-// NewStore returns a Store by a client of the platform.
+// NewStore returns a Store that uses a client of the platform.
 func NewStore(c *plat.Client) *Store { return &Store{client: c} }
 
-// List returns all objects of a kind, always as they are.
+// List returns all objects of a kind. It ignores the last argument, which permits stale
+// data, and always returns the latest versions.
 func (s *Store) List(ctx context.Context, kind news.Kind, _ bool) (news.Delta, error) {
-	c, err := s.client.Changed(ctx, prefixes[kind], 0, 0)
+	c, err := s.client.Changed(ctx, objectPrefixes[kind], 0, 0)
 	if err != nil {
-		return news.Delta{}, unreachable("list "+string(kind), err)
+		return news.Delta{}, newUnreachableError("list "+string(kind), err)
 	}
-	d, err := delta(kind, c)
+	d, err := newDelta(kind, c)
 	d.Whole = true
 	return d, err
 }
 
-// Watch waits for changes after a revision.
+// Watch returns the changes after a revision, and waits a limited time for the first one.
 func (s *Store) Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error) {
-	c, err := s.client.Changed(ctx, prefixes[kind], since, wait)
+	c, err := s.client.Changed(ctx, objectPrefixes[kind], since, wait)
 	if err != nil {
-		return news.Delta{}, unreachable("watch "+string(kind), err)
+		return news.Delta{}, newUnreachableError("watch "+string(kind), err)
 	}
-	d, err := delta(kind, c)
+	d, err := newDelta(kind, c)
 	d.Through = max(d.Through, since)
 	return d, err
 }
 
 // Read returns one object.
 func (s *Store) Read(ctx context.Context, kind news.Kind, name string) (news.Item, error) {
-	o, err := s.client.Read(ctx, prefixes[kind]+name)
+	o, err := s.client.Read(ctx, objectPrefixes[kind]+name)
 	if err != nil {
-		return news.Item{}, unreachable("read "+name, err)
+		return news.Item{}, newUnreachableError("read "+name, err)
 	}
 	if o == nil {
-		return news.Item{}, &news.Error{Op: "read " + name, Kind: news.Missing, Err: errNone}
+		return news.Item{}, &news.Error{Op: "read " + name, Kind: news.Missing, Err: errNoObject}
 	}
 	return news.Item{Name: name, Revision: o.Version, Value: o.Value}, nil
 }
 
-// Save replaces an object that is at a revision.
+// Save replaces an object if it is at the given revision; 0 means that it must not exist yet.
+// On a conflict it returns the current object together with the error.
 func (s *Store) Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error) {
 	op := "save " + name
-	o, err := s.client.Write(ctx, prefixes[kind]+name, revision, value)
+	o, err := s.client.Write(ctx, objectPrefixes[kind]+name, revision, value)
 	switch {
 	case err == nil:
 		return news.Item{Name: name, Revision: o.Version, Value: value}, nil
 	case plat.Is(err, plat.Unsure):
 		return news.Item{}, &news.Error{Op: op, Kind: news.Unsure, Err: err}
 	case !plat.Is(err, plat.Conflict):
-		return news.Item{}, unreachable(op, err)
+		return news.Item{}, newUnreachableError(op, err)
 	}
-	it, rerr := s.Read(ctx, kind, name)
-	if rerr != nil {
-		return news.Item{}, rerr
+	current, readErr := s.Read(ctx, kind, name)
+	if readErr != nil {
+		return news.Item{}, readErr
 	}
-	return it, &news.Error{Op: op, Kind: news.Conflict, Err: err}
+	return current, &news.Error{Op: op, Kind: news.Conflict, Err: err}
 }
 
-var errNone = errors.New("there is no such object")
+var errNoObject = errors.New("there is no such object")
 
-func unreachable(op string, err error) error {
+func newUnreachableError(op string, err error) error {
 	return &news.Error{Op: op, Kind: news.Unreachable, Err: err}
 }
 
-// delta turns changed objects into news of a kind. A site that changed replaces
-// all that was made of it.
-func delta(kind news.Kind, c plat.Changes) (news.Delta, error) {
+// newDelta converts changed objects to a delta of a kind. If the site changed, the delta
+// replaces all items of the kind.
+func newDelta(kind news.Kind, c plat.Changes) (news.Delta, error) {
 	d := news.Delta{Kind: kind, Through: c.Revision}
 	for _, o := range c.Objects {
-		if prefixes[kind] != SiteObject {
-			d.Items = append(d.Items, news.Item{Name: strings.TrimPrefix(o.Name, prefixes[kind]), Revision: o.Version, Value: o.Value})
+		if objectPrefixes[kind] != SiteObject {
+			d.Items = append(d.Items, news.Item{Name: strings.TrimPrefix(o.Name, objectPrefixes[kind]), Revision: o.Version, Value: o.Value})
 			continue
 		}
 		if o.Name != SiteObject {
 			continue
 		}
-		v, err := site.Unmarshal(o.Value)
+		stored, err := site.Unmarshal(o.Value)
 		if err != nil {
-			return d, unreachable("read the site", err)
+			return d, newUnreachableError("read the site", err)
 		}
-		if d.Items, err = translate(kind, v, o.Version); err != nil {
-			return d, unreachable("read the site", err)
+		if d.Items, err = siteItems(kind, stored, o.Version); err != nil {
+			return d, newUnreachableError("read the site", err)
 		}
 		d.Whole = true
 	}
--- a/io/process/prefs/prefs.go
+++ b/io/process/prefs/prefs.go
@@ -1,11 +1,11 @@
-// Package prefs is the settings file of one daemon: its addresses, its data
-// centre, the platform, and peers to start from.
+// Package prefs reads the settings file of a daemon: its addresses, its data centre, the
+// address of the platform, and the peers to join through.
 //
 // # Usage
 //
-//	p, err := prefs.Load("host.yaml") // err lists every mistake with its line
+//	p, err := prefs.Load("host.yaml") // err lists every problem with its line
 //
-// Errors are of type check.FileErrors, or *Error when the file cannot be read.
+// Errors are of type check.FileErrors, or *Error if the file cannot be read.
 package prefs
 
 import (
@@ -16,10 +16,10 @@
 	"catkinstep/core/version/check"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
-// Unreadable is a file that cannot be read.
+// Unreadable means that the file cannot be read.
 const Unreadable Kind = "unreadable"
 
 // Error is the error type of this package.
@@ -35,32 +35,33 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Prefs are the settings of one daemon. Addresses are IP numbers with ports.
+// Prefs are the settings of a daemon. Addresses are IP addresses with ports.
 type Prefs struct {
-	// DataCentre is the name of the place that the host stands in.
+	// DataCentre is the name of the data centre of the host.
 	DataCentre string `yaml:"dataCentre"`
-	// Callers is where callers are served.
-	Callers string `yaml:"callers"`
-	// Mesh is where other daemons call.
-	Mesh string `yaml:"mesh"`
-	// Operator is where the command line and metrics are served.
-	Operator string `yaml:"operator"`
-	// OperatorToken is asked of operators; needed beyond loopback.
+	// CallerAddress is the address at which the daemon serves callers.
+	CallerAddress string `yaml:"callers"`
+	// MeshAddress is the address at which the daemon serves other daemons.
+	MeshAddress string `yaml:"mesh"`
+	// OperatorAddress is the address for operators' commands and metrics.
+	OperatorAddress string `yaml:"operator"`
+	// OperatorToken is the bearer token that operators must send. It is required unless
+	// OperatorAddress is a loopback address.
 	OperatorToken string `yaml:"operatorToken,omitempty"`
-	// Platform is the platform's object API.
-	Platform string `yaml:"platform"`
-	// Peers are the mesh addresses of daemons to start from.
+	// PlatformAddress is the address of the platform's object API.
+	PlatformAddress string `yaml:"platform"`
+	// Peers are the mesh addresses of other daemons to join through.
 	Peers []string `yaml:"peers,omitempty"`
-	// MaxBody is the largest request body in bytes; default 1 MiB.
-	MaxBody int `yaml:"maxBody,omitempty"`
+	// MaxBodyBytes is the size limit of a request body; default 1 MiB.
+	MaxBodyBytes int `yaml:"maxBody,omitempty"`
 }
 
 const (
-	defaultBody = 1 << 20
-	largestBody = 2 << 20
+	defaultMaxBodyBytes = 1 << 20
+	maxBodyBytesLimit   = 2 << 20
 )
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Prefs, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -69,31 +70,31 @@
 	return Parse(file, data)
 }
 
-// Parse checks the text of a settings file.
+// Parse parses and validates the text of a settings file. The file name is for errors.
 func Parse(file string, data []byte) (Prefs, error) {
 	var p Prefs
 	c, err := check.Decode(file, data, &p)
 	if err != nil {
 		return Prefs{}, err
 	}
-	if p.MaxBody == 0 {
-		p.MaxBody = defaultBody
+	if p.MaxBodyBytes == 0 {
+		p.MaxBodyBytes = defaultMaxBodyBytes
 	}
 	if p.DataCentre == "" {
 		c.Add("dataCentre", "missing")
 	}
-	c.Address("callers", p.Callers)
-	c.Address("mesh", p.Mesh)
-	c.Address("operator", p.Operator)
-	c.Address("platform", p.Platform)
+	c.Address("callers", p.CallerAddress)
+	c.Address("mesh", p.MeshAddress)
+	c.Address("operator", p.OperatorAddress)
+	c.Address("platform", p.PlatformAddress)
 	for i, peer := range p.Peers {
 		c.Address(fmt.Sprintf("peers[%d]", i), peer)
 	}
-	if p.MaxBody < 0 || p.MaxBody > largestBody {
-		c.Add("maxBody", "must be between 1 and %d bytes", largestBody)
+	if p.MaxBodyBytes < 0 || p.MaxBodyBytes > maxBodyBytesLimit {
+		c.Add("maxBody", "must be between 1 and %d bytes", maxBodyBytesLimit)
 	}
-	if a, err := netip.ParseAddrPort(p.Operator); err == nil && !a.Addr().IsLoopback() && p.OperatorToken == "" {
-		c.Add("operatorToken", "missing: the operator interface listens beyond loopback")
+	if a, err := netip.ParseAddrPort(p.OperatorAddress); err == nil && !a.Addr().IsLoopback() && p.OperatorToken == "" {
+		c.Add("operatorToken", "missing: the operator interface does not listen on a loopback address")
 	}
 	return p, c.Err()
 }
--- a/io/process/prefs/prefs_test.go
+++ b/io/process/prefs/prefs_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestParse(t *testing.T) {
-	const right = "dataCentre: duluth\ncallers: 127.0.0.1:8081\nmesh: 127.0.0.1:7101\noperator: 127.0.0.1:7201\nplatform: 127.0.0.1:7000\n"
-	Convey("Right settings are taken", t, func() {
-		p, err := Parse("host.yaml", []byte(right))
+	const valid = "dataCentre: duluth\ncallers: 127.0.0.1:8081\nmesh: 127.0.0.1:7101\noperator: 127.0.0.1:7201\nplatform: 127.0.0.1:7000\n"
+	Convey("Valid settings are accepted, and defaults are filled in", t, func() {
+		p, err := Parse("host.yaml", []byte(valid))
 		So(err, ShouldBeNil)
-		So(p.MaxBody, ShouldEqual, defaultBody)
+		So(p.MaxBodyBytes, ShouldEqual, defaultMaxBodyBytes)
 	})
-	Convey("An operator interface beyond loopback needs a token", t, func() {
+	Convey("An operator interface on a non-loopback address requires a token", t, func() {
 		_, err := Parse("host.yaml", []byte("dataCentre: d\ncallers: 127.0.0.1:1\nmesh: 127.0.0.1:2\noperator: 10.0.0.1:3\nplatform: 127.0.0.1:4\n"))
-		So(err.Error(), ShouldEqual, "host.yaml:1: operatorToken: missing: the operator interface listens beyond loopback")
+		So(err.Error(), ShouldEqual, "host.yaml:1: operatorToken: missing: the operator interface does not listen on a loopback address")
 	})
-	Convey("A name in place of an IP number is refused with its line", t, func() {
-		_, err := Parse("host.yaml", []byte(right+"peers: [otherhost:7100]\n"))
+	Convey("A host name instead of an IP address is an error with its line", t, func() {
+		_, err := Parse("host.yaml", []byte(valid+"peers: [otherhost:7100]\n"))
 		So(err.Error(), ShouldEqual, `host.yaml:6: peers[0]: "otherhost:7100" is no IP number with a port`)
 	})
 }
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -125,7 +125,7 @@
 
 func TestHoldStaysWithinTheSitesBound(t *testing.T) {
 	Convey("A site that allows shorter grants gets them", t, func() {
-		r := New(setup.Settings{Name: "d", HoldMost: 2 * time.Second}, nil, mute{})
+		r := New(setup.Settings{Name: "d", MaxGrantTTL: 2 * time.Second}, nil, mute{})
 		So(r.hold, ShouldEqual, 2*time.Second)
 	})
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -113,13 +113,13 @@
 		hold: keeper.DefaultGrantTTL, now: clock.Now, meters: newMeters(), bounds: s, daemons: 1,
 		inbox: make(chan any, inboxSize), running: make(chan struct{}),
 		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashBound, crashKeep), sent: sent.New(keepSent), heat: map[heatKey]heatCount{},
-		self: member.Member{Name: s.Name, Address: s.Mesh, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
+		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
 		o(r)
 	}
-	if s.HoldMost > 0 {
-		r.hold = min(r.hold, s.HoldMost)
+	if s.MaxGrantTTL > 0 {
+		r.hold = min(r.hold, s.MaxGrantTTL)
 	}
 	r.links.names = sp.Names()
 	r.burn = burn.New(r.now())
@@ -145,18 +145,18 @@
 
 // Run serves until the context ends, then stops without cutting a request.
 func (r *Router) Run(ctx context.Context) error {
-	l, err := net.Listen("tcp", r.settings.Callers)
+	l, err := net.Listen("tcp", r.settings.CallerAddress)
 	if err != nil {
 		return &Error{Op: "listen for callers", Kind: Address, Err: err}
 	}
-	if r.mesh, err = mesh.Listen(r.settings.Mesh, r.answerMesh); err != nil {
+	if r.mesh, err = mesh.Listen(r.settings.MeshAddress, r.answerMesh); err != nil {
 		return &Error{Op: "listen for daemons", Kind: Address, Err: err}
 	}
 	side, err := r.sideListeners()
 	if err != nil {
 		return err
 	}
-	r.log.Info("router: start", "name", r.self.Name, "dataCentre", r.self.DataCentre, "incarnation", r.self.Incarnation, "callers", r.settings.Callers)
+	r.log.Info("router: start", "name", r.self.Name, "dataCentre", r.self.DataCentre, "incarnation", r.self.Incarnation, "callers", r.settings.CallerAddress)
 	r.tomb.Go(func() error { return r.callers.Serve(l) })
 	r.tomb.Go(r.loop)
 	for _, kind := range news.Kinds {
@@ -184,7 +184,7 @@
 // runs, and names what cannot.
 func (r *Router) Reload(next setup.Settings) {
 	now := r.settings
-	if next.Name != now.Name || next.DataCentre != now.DataCentre || next.Callers != now.Callers || next.Ready != now.Ready || next.Mesh != now.Mesh {
+	if next.Name != now.Name || next.DataCentre != now.DataCentre || next.CallerAddress != now.CallerAddress || next.ReadyAddress != now.ReadyAddress || next.MeshAddress != now.MeshAddress {
 		r.log.Warn("settings: name, data centre and addresses change at the next start only")
 	}
 	r.post(settingsMsg{settings: next})
@@ -206,7 +206,7 @@
 // answered.
 func (r *Router) stop(l net.Listener) {
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(r.settings.Grace-exitMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(r.settings.GracePeriod-exitMargin))
 	defer cancel()
 	r.log.Info("router: stop", "running", r.callers.Running())
 	r.ready.Store(false)
@@ -300,8 +300,8 @@
 	out := caller.Limits{HeaderBytes: l.MaxHeaderBytes, BodyBytes: l.MaxBodyBytes, Header: l.HeaderTimeout, Idle: l.IdleTimeout}
 	if out.HeaderBytes <= 0 {
 		out = caller.Limits{HeaderBytes: headerMost, BodyBytes: bodyMost, Header: headerWithin, Idle: idleMost}
-		if r.settings.BodyMost > 0 {
-			out.BodyBytes = r.settings.BodyMost
+		if r.settings.MaxBodyBytes > 0 {
+			out.BodyBytes = r.settings.MaxBodyBytes
 		}
 	}
 	return out
--- a/io/process/router/side.go
+++ b/io/process/router/side.go
@@ -16,7 +16,7 @@
 	for _, l := range []struct {
 		address, path string
 		answer        bunrouter.HandlerFunc
-	}{{r.settings.Ready, "/*path", r.AnswerReady}, {r.settings.Metrics, "/metrics", r.AnswerMetrics}} {
+	}{{r.settings.ReadyAddress, "/*path", r.AnswerReady}, {r.settings.MetricsAddress, "/metrics", r.AnswerMetrics}} {
 		if l.address == "" {
 			continue // served elsewhere
 		}
--- a/io/process/setup/setup.go
+++ b/io/process/setup/setup.go
@@ -1,9 +1,9 @@
-// Package setup holds what one daemon is started with, in the product's terms,
-// whichever file it was read from.
+// Package setup holds the start settings of a daemon, independently of the format of the
+// file that they were read from.
 //
 // # Usage
 //
-//	err := s.Check() // names the first field that is missing or wrong
+//	err := s.Check() // reports the first field that is missing or invalid
 //
 // Errors are of type *Error.
 package setup
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// Kind sorts the errors of this package.
+// Kind classifies the errors of this package.
 type Kind string
 
-// Incomplete is a field that is missing or wrong.
+// Incomplete means that a field is missing or invalid.
 const Incomplete Kind = "incomplete"
 
 // Error is the error type of this package.
@@ -33,49 +33,51 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Settings are what one daemon is started with. Addresses are IP numbers with ports.
+// Settings are the start settings of a daemon. Addresses are IP addresses with ports.
 type Settings struct {
-	// Name tells the daemon apart from others; its host keeps it.
+	// Name identifies the daemon among all daemons. It stays the same when the daemon
+	// restarts on its host.
 	Name       string
 	DataCentre string
-	// Strength is the host's share of a processor; 0 where it is not known.
+	// Strength is the processing capacity of the host, in cores of usual speed; 0 if unknown.
 	Strength float64
-	// Callers, Ready, Mesh and Metrics are the addresses to listen at; Ready and
-	// Metrics may be empty where others serve them.
-	Callers string
-	Ready   string
-	Mesh    string
-	Metrics string
-	// Seeds are mesh addresses of some daemons; they may be stale.
+	// CallerAddress, ReadyAddress, MeshAddress and MetricsAddress are the addresses to listen
+	// at. ReadyAddress and MetricsAddress may be empty if readiness and metrics are served
+	// elsewhere.
+	CallerAddress  string
+	ReadyAddress   string
+	MeshAddress    string
+	MetricsAddress string
+	// Seeds are mesh addresses of some other daemons to join through. They may be stale.
 	Seeds []string
-	// Grace is how long a planned stop may take.
-	Grace time.Duration
-	// ColdFactor and ColdSlack bound what a cold server gets of all daemons in
-	// a second: its rate times the factor, plus the slack.
+	// GracePeriod is how long a graceful shutdown may take.
+	GracePeriod time.Duration
+	// ColdFactor and ColdSlack limit the requests that all daemons together send to a cold
+	// server in a second: to its cold rate times ColdFactor, plus ColdSlack.
 	ColdFactor float64
 	ColdSlack  float64
-	// RetryShare and RetryBurst bound extra attempts over all daemons: a share
-	// of the requests plus a number in each window.
+	// RetryShare and RetryBurst limit the retries of all daemons together: to a share of the
+	// requests, plus a fixed number in each window.
 	RetryShare float64
 	RetryBurst float64
-	// HoldMost bounds the time of a grant.
-	HoldMost time.Duration
-	// BodyMost bounds a request's body, in bytes, where the configuration does not.
-	BodyMost int64
+	// MaxGrantTTL is the longest time for which a grant is valid.
+	MaxGrantTTL time.Duration
+	// MaxBodyBytes limits the size of a request body if the configuration sets no limit.
+	MaxBodyBytes int64
 }
 
-// Check names the first field that is missing or wrong.
+// Check returns an error that names the first field that is missing or invalid, or nil.
 func (s Settings) Check() error {
 	if s.Name == "" || s.DataCentre == "" {
 		return &Error{Op: "check", Kind: Incomplete, Err: fmt.Errorf("the name %q or the data centre %q is missing", s.Name, s.DataCentre)}
 	}
-	for _, f := range []struct{ field, value string }{{"callers", s.Callers}, {"mesh", s.Mesh}} {
+	for _, f := range []struct{ field, value string }{{"callers", s.CallerAddress}, {"mesh", s.MeshAddress}} {
 		if _, err := netip.ParseAddrPort(f.value); err != nil {
 			return &Error{Op: "check", Kind: Incomplete, Err: fmt.Errorf("the address for %s: %w", f.field, err)}
 		}
 	}
-	if s.Grace <= 0 || s.HoldMost <= 0 {
-		return &Error{Op: "check", Kind: Incomplete, Err: fmt.Errorf("the grace %v or the longest hold %v is not above zero", s.Grace, s.HoldMost)}
+	if s.GracePeriod <= 0 || s.MaxGrantTTL <= 0 {
+		return &Error{Op: "check", Kind: Incomplete, Err: fmt.Errorf("the grace period %v and the maximum grant TTL %v must be positive", s.GracePeriod, s.MaxGrantTTL)}
 	}
 	return nil
 }
--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -126,9 +126,9 @@
 		r.stage.KillDaemon(lost)
 		return func() error { return r.stage.StartDaemon(lost) }, time.Now(), nil
 	}
-	_, err = r.stage.Operator().Out(ctx, site.Exclusion{DataCentre: place})
+	_, err = r.stage.Operator().Exclude(ctx, site.Exclusion{DataCentre: place})
 	return func() error {
-		_, err := r.stage.Operator().In(ctx, site.Exclusion{DataCentre: place})
+		_, err := r.stage.Operator().RemoveExclusion(ctx, site.Exclusion{DataCentre: place})
 		return err
 	}, time.Now(), err
 }
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -91,7 +91,7 @@
 	}
 	if r.direct != nil {
 		r.direct.SetOut(name, true)
-	} else if _, err := r.stage.Operator().Out(ctx, site.Exclusion{DataCentre: name}); err != nil {
+	} else if _, err := r.stage.Operator().Exclude(ctx, site.Exclusion{DataCentre: name}); err != nil {
 		r.say("data centre out %s: %v", name, err)
 		return
 	}
@@ -103,7 +103,7 @@
 	r.stage.Oracle.In(name, "", time.Now())
 	if r.direct != nil {
 		r.direct.SetOut(name, false)
-	} else if _, err := r.stage.Operator().In(ctx, site.Exclusion{DataCentre: name}); err != nil {
+	} else if _, err := r.stage.Operator().RemoveExclusion(ctx, site.Exclusion{DataCentre: name}); err != nil {
 		r.say("data centre in %s: %v", name, err)
 		return
 	}
@@ -217,7 +217,7 @@
 }
 
 func (r *run) use(ctx context.Context, preset string) {
-	a, err := r.stage.Operator().Preset(ctx, preset)
+	a, err := r.stage.Operator().UsePreset(ctx, preset)
 	if err != nil {
 		r.say("preset use %s: %v", preset, err)
 		return
--- a/io/standin/server/grant.go
+++ b/io/standin/server/grant.go
@@ -12,7 +12,7 @@
 )
 
 // parseKeys reads the body of a grant or a release.
-func parseKeys(v *life, body []byte) (k native.Keys, ok bool) {
+func parseKeys(v *life, body []byte) (k native.KeyRangeRequest, ok bool) {
 	err := json.Unmarshal(body, &k)
 	return k, err == nil && len(v.held) > 0 && k.From >= 0 && k.From <= k.To && k.To <= grant.LastKey
 }
@@ -68,7 +68,7 @@
 	w.Header().Set(names.Default().Handover, known)
 }
 
-func (s *Server) works(v *life, k native.Keys) bool {
+func (s *Server) works(v *life, k native.KeyRangeRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, key := range v.running {
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -12,7 +12,7 @@
 func (r *Stage) Hosts() int { return len(r.hosts) }
 
 // HostAddress returns the address for callers of an entry host.
-func (r *Stage) HostAddress(i int) string { return r.hosts[i].prefs.Callers }
+func (r *Stage) HostAddress(i int) string { return r.hosts[i].prefs.CallerAddress }
 
 // Daemon returns an entry host's daemon; nil while it is down.
 func (r *Stage) Daemon(i int) *native.Daemon {
@@ -35,14 +35,14 @@
 // StartDaemon starts an entry host's daemon from nothing.
 func (r *Stage) StartDaemon(i int) error {
 	h := r.hosts[i]
-	d, err := native.Start(h.prefs, native.WithLogger(r.log.With("host", h.prefs.Mesh)), native.WithOperator(admin.Handler))
+	d, err := native.Start(h.prefs, native.WithLogger(r.log.With("host", h.prefs.MeshAddress)), native.WithOperatorHandler(admin.Handler))
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h.daemon = d
-	delete(r.killed, h.prefs.Callers)
+	delete(r.killed, h.prefs.CallerAddress)
 	return nil
 }
 
@@ -52,7 +52,7 @@
 	h := r.hosts[i]
 	d := h.daemon
 	h.daemon = nil
-	r.killed[h.prefs.Callers] = true
+	r.killed[h.prefs.CallerAddress] = true
 	r.mu.Unlock()
 	if d != nil {
 		d.Kill()
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -165,12 +165,12 @@
 		for j := range r.plan.Hosts[d.Name] {
 			ip := fmt.Sprintf("127.%d.%d.%d", r.octet, i+1, j+1)
 			r.hosts = append(r.hosts, &host{prefs: prefs.Prefs{
-				DataCentre: d.Name,
-				Callers:    fmt.Sprintf("%s:%d", ip, callersPort),
-				Mesh:       fmt.Sprintf("%s:%d", ip, meshPort),
-				Operator:   fmt.Sprintf("%s:%d", ip, operatorPort),
-				Platform:   fmt.Sprintf("127.%d.0.1:%d", r.octet, platformPort),
-				MaxBody:    1 << 20,
+				DataCentre:      d.Name,
+				CallerAddress:   fmt.Sprintf("%s:%d", ip, callersPort),
+				MeshAddress:     fmt.Sprintf("%s:%d", ip, meshPort),
+				OperatorAddress: fmt.Sprintf("%s:%d", ip, operatorPort),
+				PlatformAddress: fmt.Sprintf("127.%d.0.1:%d", r.octet, platformPort),
+				MaxBodyBytes:    1 << 20,
 			}})
 			peers = append(peers, fmt.Sprintf("%s:%d", ip, meshPort))
 		}
@@ -230,7 +230,7 @@
 
 // Operator returns a client of a live daemon.
 func (r *Stage) Operator() *admin.Client {
-	return admin.NewClient(r.live()[0].prefs.Operator, "")
+	return admin.NewClient(r.live()[0].prefs.OperatorAddress, "")
 }
 
 // ServersIn returns the addresses of a data centre's servers of a service.
@@ -252,11 +252,11 @@
 	var ready []string
 	for _, h := range r.hosts {
 		if h.daemon != nil && h.daemon.Ready() {
-			ready = append(ready, h.prefs.Callers)
+			ready = append(ready, h.prefs.CallerAddress)
 		}
 	}
 	if len(ready) == 0 {
-		return r.hosts[0].prefs.Callers
+		return r.hosts[0].prefs.CallerAddress
 	}
 	return ready[n%uint64(len(ready))]
 }
