--- a/examples/core/main.go
+++ b/examples/core/main.go
@@ -1,7 +1,6 @@
-// Command core drives the product's decisions without any network: a leader's
-// keeper divides keys between two backend servers, moves them when one leaves,
-// and does so again when the other falls silent. Time is a number that the
-// example raises itself.
+// Command core runs the decision logic of a leader without a network. The keeper divides keys
+// between two backend servers, moves them when one server is draining, and moves them again
+// when the other stops answering. The example simulates the clock, so it never waits.
 //
 //	go run ./examples/core
 package main
@@ -16,37 +15,37 @@
 	"catkinstep/core/version/grant"
 )
 
-// tick is how often the keeper may act.
-const tick = 50 * time.Millisecond
+// tickInterval is the simulated time between two ticks of the keeper.
+const tickInterval = 50 * time.Millisecond
 
-// world answers the keeper's commands as a store and two servers would.
-type world struct {
-	now    time.Time
-	keeper *keeper.Keeper
-	silent map[string]bool // servers that answer nothing
-	serial uint64          // of the stored table
+// simulation executes the keeper's commands in place of a store and backend servers.
+type simulation struct {
+	now         time.Time
+	keeper      *keeper.Keeper
+	unreachable map[string]bool // servers that do not answer
+	revision    uint64          // of the stored table
 }
 
 func main() {
-	w := &world{now: time.Unix(0, 0), silent: map[string]bool{}, serial: 1}
+	sim := &simulation{now: time.Unix(0, 0), unreachable: map[string]bool{}, revision: 1}
 	table := grant.Table{Epoch: 1, Leader: grant.Leader{Daemon: "host1", Incarnation: 1}}
-	w.keeper = keeper.New(w.now, table, w.serial, keeper.WithGrantTTL(2*time.Second))
-	w.tell(keeper.OldLeaderStoppedMsg{At: w.now})
+	sim.keeper = keeper.New(sim.now, table, sim.revision, keeper.WithGrantTTL(2*time.Second))
+	sim.send(keeper.OldLeaderStoppedMsg{At: sim.now})
 
-	w.say("two servers register")
-	w.servers(server("oak", false), server("ash", false))
-	w.pass(3 * time.Second)
+	sim.printEvent("two servers register")
+	sim.setServers(server("oak", false), server("ash", false))
+	sim.advance(3 * time.Second)
 
-	w.say("oak says that it leaves")
-	w.servers(server("oak", true), server("ash", false), server("elm", false))
-	w.pass(3 * time.Second)
+	sim.printEvent("elm registers, and oak announces that it is draining")
+	sim.setServers(server("oak", true), server("ash", false), server("elm", false))
+	sim.advance(3 * time.Second)
 
-	w.say("ash falls silent: its keys wait until its grant has surely run out")
-	w.silent["ash"] = true
-	w.pass(6 * time.Second)
+	sim.printEvent("ash stops answering: its keys wait until its grant has certainly expired")
+	sim.unreachable["ash"] = true
+	sim.advance(6 * time.Second)
 
-	if !w.allHeldBy("elm") {
-		fmt.Println("not every key has come to elm")
+	if !sim.allHeldBy("elm") {
+		fmt.Println("elm does not hold all keys")
 		os.Exit(1)
 	}
 }
@@ -55,55 +54,55 @@
 	return fleet.Server{ID: id, Address: id, Service: "workshop", DataCentre: "duluth", Slots: 3, StartMillis: 1, Draining: draining}
 }
 
-func (w *world) servers(servers ...fleet.Server) {
-	w.tell(keeper.FleetMsg{Fleet: fleet.New(servers), KeyedServices: []string{"workshop"}})
+func (s *simulation) setServers(servers ...fleet.Server) {
+	s.send(keeper.FleetMsg{Fleet: fleet.New(servers), KeyedServices: []string{"workshop"}})
 }
 
-func (w *world) say(text string) { fmt.Printf("%6.2fs %s\n", w.seconds(), text) }
+func (s *simulation) printEvent(text string) { fmt.Printf("%6.2fs %s\n", s.seconds(), text) }
 
-func (w *world) seconds() float64 { return w.now.Sub(time.Unix(0, 0)).Seconds() }
+func (s *simulation) seconds() float64 { return s.now.Sub(time.Unix(0, 0)).Seconds() }
 
-// pass lets time go by.
-func (w *world) pass(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(tick)
-		w.tell(keeper.TickMsg{})
+// advance moves the clock forward, with a tick of the keeper at each interval.
+func (s *simulation) advance(d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); {
+		s.now = s.now.Add(tickInterval)
+		s.send(keeper.TickMsg{})
 	}
 }
 
-// tell passes a message to the keeper, and carries out what it wants.
-func (w *world) tell(m keeper.Msg) {
-	for _, c := range w.keeper.Update(w.now, m) {
-		w.carryOut(c)
+// send sends a message to the keeper and executes the commands that it returns.
+func (s *simulation) send(m keeper.Msg) {
+	for _, c := range s.keeper.Update(s.now, m) {
+		s.execute(c)
 	}
 }
 
-func (w *world) carryOut(c keeper.Cmd) {
+func (s *simulation) execute(c keeper.Cmd) {
 	switch c := c.(type) {
 	case keeper.GrantCmd:
-		w.tell(keeper.GrantResultMsg{Cmd: c, EndedAt: w.now, Result: w.result(c.Holder)})
+		s.send(keeper.GrantResultMsg{Cmd: c, EndedAt: s.now, Result: s.result(c.Holder)})
 	case keeper.ReleaseCmd:
-		w.tell(keeper.ReleaseResultMsg{Cmd: c, Result: w.result(c.Holder), Handover: "what " + c.Holder.Server + " knows"})
+		s.send(keeper.ReleaseResultMsg{Cmd: c, Result: s.result(c.Holder), Handover: "state of " + c.Holder.Server + " at release"})
 	case keeper.SaveCmd:
-		w.serial++
-		w.tell(keeper.StoredTableMsg{Table: c.Table, Revision: w.serial, RequestedAt: w.now})
+		s.revision++
+		s.send(keeper.StoredTableMsg{Table: c.Table, Revision: s.revision, RequestedAt: s.now})
 	case keeper.ReadCmd:
-		w.tell(keeper.EpochSeenMsg{Epoch: 1, At: w.now})
+		s.send(keeper.EpochSeenMsg{Epoch: 1, At: s.now})
 	case keeper.LogCmd:
-		fmt.Printf("%6.2fs   keys %d to %d: %s (%s -> %s) %s\n", w.seconds(), c.From, c.To, c.Text, c.Holder.Server, c.Next.Server, c.Reason)
+		fmt.Printf("%6.2fs   keys %d to %d: %s (%s -> %s) %s\n", s.seconds(), c.From, c.To, c.Text, c.Holder.Server, c.Next.Server, c.Reason)
 	}
 }
 
-func (w *world) result(h grant.Holder) grant.Result {
-	if w.silent[h.Server] {
+func (s *simulation) result(h grant.Holder) grant.Result {
+	if s.unreachable[h.Server] {
 		return grant.NotSent
 	}
 	return grant.Done
 }
 
-func (w *world) allHeldBy(id string) bool {
-	for _, s := range w.keeper.Table().Services {
-		for _, r := range s.Ranges {
+func (s *simulation) allHeldBy(id string) bool {
+	for _, service := range s.keeper.Table().Services {
+		for _, r := range service.Ranges {
 			if r.Holder.Server != id || !r.IsOpen() {
 				return false
 			}
