--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -17,9 +17,9 @@
 	Write(ctx context.Context, name string, ifVersion uint64, value []byte) (*plat.Object, error)
 }
 
-// settleTimeout limits how long Change tries to find out whether a write without a reply
+// lostReplyTimeout limits how long Change tries to find out whether a write without a reply
 // took effect.
-const settleTimeout = 3 * time.Second
+const lostReplyTimeout = 3 * time.Second
 
 // AcceptedChange is a change of the configuration with the version that resulted from it.
 type AcceptedChange struct {
@@ -94,7 +94,7 @@
 // configuration and recognises its own write by the write ID. It does not repeat the write,
 // since that could undo a change that somebody made in between.
 func resolveLostReply(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (AcceptedChange, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, lostReplyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		stored, err := p.Read(ctx, native.SiteObject)
