--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -128,7 +128,7 @@
 
 func TestGrantTTLIsCapped(t *testing.T) {
 	Convey("A shorter limit in the settings shortens grants", t, func() {
-		r := New(setup.Settings{Name: "d", HoldMost: 2 * time.Second}, nil, stubProtocol{})
+		r := New(setup.Settings{Name: "d", MaxGrantTTL: 2 * time.Second}, nil, stubProtocol{})
 		So(r.grantTTL, ShouldEqual, 2*time.Second)
 	})
 }
--- a/io/process/router/http.go
+++ b/io/process/router/http.go
@@ -16,7 +16,7 @@
 	for _, l := range []struct {
 		address, path string
 		answer        bunrouter.HandlerFunc
-	}{{r.settings.Ready, "/*path", r.ServeReady}, {r.settings.Metrics, "/metrics", r.ServeMetrics}} {
+	}{{r.settings.ReadyAddress, "/*path", r.ServeReady}, {r.settings.MetricsAddress, "/metrics", r.ServeMetrics}} {
 		if l.address == "" {
 			continue // served elsewhere
 		}
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -113,13 +113,13 @@
 		grantTTL: keeper.DefaultGrantTTL, now: clock.Now, meters: newMetrics(), latestSettings: s, daemonCount: 1,
 		inbox: make(chan any, inboxSize), listening: make(chan struct{}),
 		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sent: sent.New(sentRetention), bucketLoads: map[bucketKey]bucketLoad{},
-		self: member.Member{Name: s.Name, Address: s.Mesh, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
+		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
 		o(r)
 	}
-	if s.HoldMost > 0 {
-		r.grantTTL = min(r.grantTTL, s.HoldMost)
+	if s.MaxGrantTTL > 0 {
+		r.grantTTL = min(r.grantTTL, s.MaxGrantTTL)
 	}
 	r.clientPool.names = p.Names()
 	r.burn = burn.New(r.now())
@@ -145,18 +145,18 @@
 
 // Run serves until the context ends, then shuts down without interrupting running requests.
 func (r *Router) Run(ctx context.Context) error {
-	l, err := net.Listen("tcp", r.settings.Callers)
+	l, err := net.Listen("tcp", r.settings.CallerAddress)
 	if err != nil {
 		return &Error{Op: "listen for callers", Kind: Address, Err: err}
 	}
-	if r.mesh, err = mesh.Listen(r.settings.Mesh, r.handleMeshCall); err != nil {
+	if r.mesh, err = mesh.Listen(r.settings.MeshAddress, r.handleMeshCall); err != nil {
 		return &Error{Op: "listen for daemons", Kind: Address, Err: err}
 	}
 	servers, err := r.startHTTPServers()
 	if err != nil {
 		return err
 	}
-	r.log.Info("router: start", "name", r.self.Name, "dataCentre", r.self.DataCentre, "incarnation", r.self.Incarnation, "callers", r.settings.Callers)
+	r.log.Info("router: start", "name", r.self.Name, "dataCentre", r.self.DataCentre, "incarnation", r.self.Incarnation, "callers", r.settings.CallerAddress)
 	r.tomb.Go(func() error { return r.callers.Serve(l) })
 	r.tomb.Go(r.loop)
 	for _, kind := range news.Kinds {
@@ -184,7 +184,7 @@
 // warning if others differ as well.
 func (r *Router) Reload(next setup.Settings) {
 	current := r.settings
-	if next.Name != current.Name || next.DataCentre != current.DataCentre || next.Callers != current.Callers || next.Ready != current.Ready || next.Mesh != current.Mesh {
+	if next.Name != current.Name || next.DataCentre != current.DataCentre || next.CallerAddress != current.CallerAddress || next.ReadyAddress != current.ReadyAddress || next.MeshAddress != current.MeshAddress {
 		r.log.Warn("settings: changes of name, data centre and addresses need a restart")
 	}
 	r.post(settingsMsg{settings: next})
@@ -206,7 +206,7 @@
 // the listener and idle connections are closed; running requests are answered.
 func (r *Router) stop(l net.Listener) {
 	startedAt := time.Now()
-	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(r.settings.Grace-shutdownMargin))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(r.settings.GracePeriod-shutdownMargin))
 	defer cancel()
 	r.log.Info("router: stop", "running", r.callers.Running())
 	r.ready.Store(false)
@@ -301,8 +301,8 @@
 	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
 	if out.MaxHeaderBytes <= 0 {
 		out = caller.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, ReadTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
-		if r.settings.BodyMost > 0 {
-			out.MaxBodyBytes = r.settings.BodyMost
+		if r.settings.MaxBodyBytes > 0 {
+			out.MaxBodyBytes = r.settings.MaxBodyBytes
 		}
 	}
 	return out
