--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -18,8 +18,8 @@
 // becomes the revision of all items.
 func siteItems(kind news.Kind, s site.Site, version uint64) ([]news.Item, error) {
 	var items []news.Item
-	add := func(name string, object any) error {
-		value, err := json.Marshal(object)
+	add := func(name string, v any) error {
+		value, err := json.Marshal(v)
 		if err == nil {
 			items = append(items, news.Item{Name: name, Revision: version, Value: value})
 		}
@@ -29,8 +29,8 @@
 	case news.Config:
 		return items, add(configName, configOf(s, version))
 	case news.Servers:
-		for _, object := range serversOf(s) {
-			if err := add(object.ID, object); err != nil {
+		for _, v := range serversOf(s) {
+			if err := add(v.ID, v); err != nil {
 				return nil, err
 			}
 		}
