--- a/core/process/burn/burn.go
+++ b/core/process/burn/burn.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Outcome is how a request ended, as far as objectives go.
+// Outcome is how a request ended, as the objectives classify it.
 type Outcome int
 
 // Outcomes of requests.
@@ -143,9 +143,9 @@
 
 // Rates returns a row for each objective and window, first for all data centres
 // together and then for each.
-func Rates(objectives []Objective, fleet []Counts) []Row {
+func Rates(objectives []Objective, daemonCounts []Counts) []Row {
 	var dataCentres []string
-	for _, c := range fleet {
+	for _, c := range daemonCounts {
 		if !slices.Contains(dataCentres, c.DataCentre) {
 			dataCentres = append(dataCentres, c.DataCentre)
 		}
@@ -155,7 +155,7 @@
 	for _, o := range objectives {
 		for i, window := range Windows() {
 			for _, dataCentre := range append([]string{""}, dataCentres...) {
-				rows = append(rows, rowFor(o, i, window, dataCentre, fleet))
+				rows = append(rows, rowFor(o, i, window, dataCentre, daemonCounts))
 			}
 		}
 	}
@@ -163,10 +163,10 @@
 }
 
 // rowFor returns one row; index is the position of window in Windows.
-func rowFor(o Objective, index int, window time.Duration, dataCentre string, fleet []Counts) Row {
+func rowFor(o Objective, index int, window time.Duration, dataCentre string, daemonCounts []Counts) Row {
 	r := Row{Service: o.Service, DataCentre: dataCentre, Window: window, ObservedFor: window}
 	var total WindowCounts
-	for _, c := range fleet {
+	for _, c := range daemonCounts {
 		if dataCentre != "" && c.DataCentre != dataCentre {
 			continue
 		}
--- a/core/process/keeper/balance.go
+++ b/core/process/keeper/balance.go
@@ -25,8 +25,8 @@
 	return lossEstimate{service: s, loads: k.loads(s), queueModels: map[string]queue.Server{}, moveCost: moveCost}
 }
 
-// lostPerSecond returns how many requests a second a server answers late or refuses if
-// its load changes by the given number of busy slots.
+// lostPerSecond returns how many requests a second a server would answer late or refuse if
+// its load changed by the given number of busy slots.
 func (est lossEstimate) lostPerSecond(v fleet.Server, change float64) float64 {
 	q, ok := est.queueModels[v.ID]
 	if !ok {
@@ -200,7 +200,8 @@
 	return lowestBy(servers, func(v fleet.Server) float64 { return -est.lostPerSecond(v, 0) })
 }
 
-// cheapestTargets returns the servers that lose the fewest requests from some added load.
+// cheapestTargets returns the servers that lose the fewest additional requests from a small
+// added load.
 func (est lossEstimate) cheapestTargets(servers []fleet.Server) []fleet.Server {
 	total := 0.0
 	for _, v := range servers {
--- a/core/process/keeper/fuzz_test.go
+++ b/core/process/keeper/fuzz_test.go
@@ -55,9 +55,9 @@
 	for seed := range uint64(60) {
 		runSeed(t, seed)
 	}
-	// These seeds beyond the first sixty have found bugs. The simulation has got more kinds
-	// of faults since 473 and 502 did, so these two now take another course;
-	// leadership_test.go has the sequences of events that they had found.
+	// These seeds beyond the first sixty have found bugs. Since 473 and 502 did, the simulation
+	// has got more kinds of faults, so that these two now lead to other events. The
+	// events with which they found the bugs are tested in leadership_test.go.
 	for _, seed := range []uint64{100, 473, 502} {
 		runSeed(t, seed)
 	}
--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -31,16 +31,16 @@
 	// expiresAt is when the holder's last grant has certainly expired; zero means that
 	// no grant can be in force.
 	expiresAt time.Time
-	// nextExpiresAt is when a grant to Next has certainly expired that the previous
-	// leader may have sent before it was replaced. Zero for intents of this leader.
+	// nextExpiresAt is when the grant that the previous leader may have sent to Next has
+	// certainly expired. It is zero for intents of this leader.
 	nextExpiresAt time.Time
 	// nextCallAt is the earliest time of the next call to the holder.
 	nextCallAt time.Time
 	handover   string
 	origin     grant.Origin
-	// releasedBy is the server that released the range to Holder. The stored table names it as
-	// holder, so that a new leader, which does not have the handover, asks it again. It
-	// is empty once Holder has confirmed its grant.
+	// releasedBy is the server that released the range before Holder got it. The stored table
+	// still names it as the holder, so that a new leader, which does not have the handover,
+	// asks it again. It is empty once Holder has confirmed its grant.
 	releasedBy grant.Holder
 	// closedSince is when a planned move closed the range to callers; zero while the range is
 	// open, or if its holder was lost.
@@ -69,7 +69,7 @@
 	publishedAt time.Time
 }
 
-// Keeper decides, during one term of a leader, which server holds which range.
+// Keeper decides which server holds which range, during one term of a leader, which is one epoch.
 type Keeper struct {
 	grantTTL, leaderLease time.Duration
 
@@ -176,9 +176,9 @@
 func (k *Keeper) Table() grant.Table { return k.table(false) }
 
 // table returns the stored or the published form of the table. The stored form contains
-// the intent of a move from before its first call until the next holder has confirmed
-// its grant, since until then only this leader has the handover. The published form
-// contains the intent only while the range is closed to callers.
+// the intent of a move before the first call for it is made, and until the next holder has
+// confirmed its grant, since until then only this leader has the handover. The published
+// form contains the intent only while the range is closed to callers.
 func (k *Keeper) table(stored bool) grant.Table {
 	t := grant.Table{Epoch: k.epoch, Seq: k.seq, Leader: k.leader}
 	for _, s := range k.services {
--- a/core/process/keeper/limits.go
+++ b/core/process/keeper/limits.go
@@ -12,7 +12,7 @@
 // limiter computes request limits for overloaded holders.
 type limiter struct {
 	control *admit.Controller
-	// limitsActive is set if the last round had limits or contended servers.
+	// limitsActive is set if the last round resulted in limits or contended servers.
 	limitsActive bool
 	roundAt      time.Time
 }
@@ -76,7 +76,7 @@
 	return out
 }
 
-// fillShare returns the share of a holder's slots that limits let requests fill.
+// fillShare returns the share of a holder's slots that limited requests may keep busy.
 func (k *Keeper) fillShare(s *serviceState, v fleet.Server) float64 {
 	if k.usesPermits(s, v) {
 		return baseFillShare + permitExtraFill
@@ -95,11 +95,11 @@
 	if !limited {
 		return nil
 	}
-	level := admit.FairShare(demands, capacity)
+	share := admit.FairShare(demands, capacity)
 	var out []admit.Limit
 	for i, b := range buckets {
-		if part := level / demands[i]; part < 1 {
-			out = append(out, admit.Limit{Service: s.service, Bucket: b, Fraction: part})
+		if fraction := share / demands[i]; fraction < 1 {
+			out = append(out, admit.Limit{Service: s.service, Bucket: b, Fraction: fraction})
 		}
 	}
 	return out
--- a/core/process/keeper/limits_test.go
+++ b/core/process/keeper/limits_test.go
@@ -24,15 +24,15 @@
 }
 
 // admitted returns the load of each server under the limits, as a share of its slots.
-func (l *loadModel) admitted(h *harness, parts map[int]float64) map[string]float64 {
+func (l *loadModel) admitted(h *harness, fractions map[int]float64) map[string]float64 {
 	out := map[string]float64{}
 	for _, r := range h.keeper.Table().Services[0].Ranges {
 		for b := Bucket(r.From); r.IsOpen() && b <= Bucket(r.To); b++ {
-			part, limited := parts[b]
+			fraction, limited := fractions[b]
 			if !limited {
-				part = 1
+				fraction = 1
 			}
-			out[r.Holder.Server] += l.requestRates[b] * l.serviceTimeSeconds * l.slowdowns[r.Holder.Server] / l.slots * part
+			out[r.Holder.Server] += l.requestRates[b] * l.serviceTimeSeconds * l.slowdowns[r.Holder.Server] / l.slots * fraction
 		}
 	}
 	return out
@@ -65,9 +65,9 @@
 		const hot = 700
 		l.requestRates[hot] = 400
 		l.advanceReporting(h, 2*time.Second, grant.Done)
-		parts := latestLimits(h)
-		So(parts, ShouldHaveLength, 1)
-		So(parts[hot], ShouldBeBetween, 0.05, 0.4)
+		fractions := latestLimits(h)
+		So(fractions, ShouldHaveLength, 1)
+		So(fractions[hot], ShouldBeBetween, 0.05, 0.4)
 		Convey("The limit ends with the load", func() {
 			l.requestRates[hot] = 1
 			l.advanceReporting(h, 2*time.Second, grant.Done)
--- a/core/process/keeper/main_test.go
+++ b/core/process/keeper/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that each run draws the same values; -rapid.seed on the command
-// line sets another.
+// TestMain fixes the seed of rapid, so that every run checks the same values. The flag -rapid.seed
+// overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		fmt.Fprintln(os.Stderr, "cannot set rapid's seed:", err)
--- a/core/process/keeper/messages.go
+++ b/core/process/keeper/messages.go
@@ -43,7 +43,7 @@
 	LatencyTarget time.Duration
 	// ColdRate is how many requests a second a cold server can handle.
 	ColdRate float64
-	// Reports count the load reports of servers of any service since the last LoadMsg.
+	// Reports counts the load reports of servers of any service since the last LoadMsg.
 	Reports []QueueReport
 }
 
@@ -86,7 +86,7 @@
 	At    time.Time
 }
 
-// PreviousLeaderStoppedMsg reports that the previous leader had ended or stepped down by At.
+// PreviousLeaderStoppedMsg reports that by At the previous leader had ended or stepped down.
 type PreviousLeaderStoppedMsg struct{ At time.Time }
 
 func (TickMsg) msg()                  {}
--- a/core/process/keeper/move.go
+++ b/core/process/keeper/move.go
@@ -95,7 +95,8 @@
 		Holder: rs.Holder, Next: rs.Next, Fence: rs.Fence, Reason: reason})
 }
 
-// originAfter returns the origin of the next grant while holder h has not handed over.
+// originAfter returns the origin of the next grant of a range that its holder h has not handed
+// over.
 func originAfter(h grant.Holder) grant.Origin {
 	if h.Server == "" {
 		return grant.First
--- a/core/process/keeper/options.go
+++ b/core/process/keeper/options.go
@@ -16,8 +16,8 @@
 	expiryMargin = 200 * time.Millisecond
 	// defaultLeaderLease is how long a leader that cannot confirm its epoch goes on
 	// renewing grants, so that a data centre that is cut off together with its leader
-	// keeps its keys. A new leader that cannot reach the old one assumes that it goes on
-	// for all of that time.
+	// keeps its keys. A new leader that cannot reach the previous one assumes that it
+	// goes on for all of that time.
 	defaultLeaderLease = 30 * time.Second
 	// maxGrantCall bounds a grant call, from writing it to closing its connection.
 	maxGrantCall = time.Second
@@ -31,8 +31,8 @@
 	// sendWindow is how long after the decision a call may be written. It keeps a host that
 	// was frozen in between from sending outdated calls.
 	sendWindow = 500 * time.Millisecond
-	// suspendThreshold is the time between two ticks from which this host may have been
-	// frozen, and this leader replaced; the epoch is then checked before any other call.
+	// suspendThreshold is the time between two ticks beyond which this host may have been
+	// frozen and this leader replaced. The epoch is then checked before any other call.
 	suspendThreshold = time.Second
 	// fleetSettleTime is how long the list of servers must be unchanged before the keys of
 	// a new service are divided: at startup servers register one after the other.
@@ -68,9 +68,10 @@
 	allKeysHandoverCost = 30.0
 	// maxCandidates is how many sources and targets are considered for a move.
 	maxCandidates = 4
-	// hotBucketShare is the share of a server's load from which a bucket may move alone.
+	// hotBucketShare is the least share of its server's load with which a bucket may move
+	// alone.
 	hotBucketShare = 0.05
-	// lossTolerance is the difference in lost requests a second that counts as none.
+	// lossTolerance is the largest difference in lost requests a second that counts as none.
 	lossTolerance = 0.05
 	// unresponsivePeriod is how long a server that did not answer a call gets no more keys.
 	// One that died while its entry stays listed would otherwise get some back at once,
@@ -90,7 +91,7 @@
 	// limitInterval is the time between two rounds of limits for overloaded holders; the
 	// counts that they are computed from are updated as often.
 	limitInterval = 500 * time.Millisecond
-	// baseFillShare is the share of a holder's slots that limits let requests fill when
+	// baseFillShare is the share of a holder's slots that limited requests may keep busy when
 	// hundreds of daemons send to it and none of them knows its queue: with more, most
 	// answers would be late. When few daemons send to it, each knows the queue well enough
 	// to refuse requests itself, so limits allow up to knownQueueExtraFill more.
--- a/core/process/keeper/save.go
+++ b/core/process/keeper/save.go
@@ -38,8 +38,9 @@
 }
 
 // handleStoredTable compares the stored table with this leader's state. If the answer to a
-// save was lost, the stored table shows whether it was done. If not, the save is repeated:
-// once the repetition succeeds, the condition of the first one fails should it arrive late.
+// save was lost, the stored table shows whether the save was carried out. If it was not, it is
+// repeated. Should the first save arrive after the repeated one has succeeded, its condition
+// fails.
 func (k *Keeper) handleStoredTable(now time.Time, m StoredTableMsg) {
 	k.saver.callInFlight, k.saver.readPending = false, false
 	if m.Table.Epoch != k.epoch || m.Table.Leader != k.leader {
--- a/core/process/member/reader.go
+++ b/core/process/member/reader.go
@@ -28,9 +28,9 @@
 }
 
 // IsStandbyReader reports whether this daemon reads the store in addition to the leader. The
-// store may refuse only the leader, or the leader's host may stall. By the time the copies of
-// the other daemons are stale enough for these to read, servers that left have been sent
-// requests for seconds. The standby is the first relay that had no failed call to the store
+// store may refuse only the leader, or the leader's host may stall. Without a standby, servers
+// that left would be sent requests for seconds, until the copies of the other daemons are stale
+// enough for these to read. The standby is the first relay that had no failed call to the store
 // lately, preferably one in another data centre than the leader.
 func (c *Cluster) IsStandbyReader(now time.Time, leader string) bool {
 	if leader == "" || leader == c.self.Name || c.storeFailedRecently(now, c.lastStoreFailure) || !c.IsRelay(now) {
--- a/core/process/member/relay.go
+++ b/core/process/member/relay.go
@@ -17,8 +17,8 @@
 	// at most about 40 messages a second however many daemons there are.
 	minGossipInterval       = 250 * time.Millisecond
 	gossipIntervalPerDaemon = 25 * time.Millisecond
-	// nonRelayRounds is how many rounds of gossip later than relays the other daemons learn of
-	// changes at the latest: one for their own round, and one in case a message is lost.
+	// nonRelayRounds is by how many rounds of gossip at most the other daemons learn of changes
+	// later than the relays: one for their own round, and one in case a message is lost.
 	nonRelayRounds = 2
 	// relayCacheTTL is how long the chosen relays are cached while no peer changes. It also
 	// delays the moment at which a daemon becomes a candidate again after unansweredBackoff.
--- a/core/process/queue/queue.go
+++ b/core/process/queue/queue.go
@@ -10,7 +10,7 @@
 	// admitFraction is the fraction of the latency target within which an answer must be
 	// expected for a request to be admitted. Other requests are refused.
 	admitFraction = 0.8
-	// maxQueuePerSlot limits the number of requests in the model, per slot.
+	// maxQueuePerSlot limits how many requests the model has at a server, per slot.
 	maxQueuePerSlot = 16
 )
 
@@ -19,9 +19,9 @@
 	slots       int
 	serviceTime float64 // seconds
 	maxRate     float64 // requests a second; 0 means no limit
-	// lateShares is indexed by how many other requests a request finds at the server. It
-	// holds the share of these requests that are answered after their latency target.
-	// Requests that find more others than it has entries for are refused.
+	// lateShares has an entry for each number of other requests that an arriving request may
+	// find at the server: the share of such requests that are answered after their latency
+	// target. A request that finds more others than that is refused.
 	lateShares []float64
 }
 
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -26,9 +26,9 @@
 }
 
 // simulate sends requests with Poisson arrivals from many daemons to one server of three slots. It
-// returns how many requests for the hot key and for the other keys were answered within the target.
+// returns how many requests for the hot key and for the other keys were answered within the latency target.
 func simulate(limiters []*Limiter, hotRate, otherRate float64) (hotOnTime, otherOnTime int) {
-	const serviceTime, target, queueLimit, duration = 670 * time.Millisecond, 1500 * time.Millisecond, 12, 20 * time.Second
+	const serviceTime, latencyTarget, queueLimit, duration = 670 * time.Millisecond, 1500 * time.Millisecond, 12, 20 * time.Second
 	random := rand.New(rand.NewPCG(5, 5))
 	slotFreeAt := make([]time.Duration, 3)
 	for at := time.Duration(0); at < duration; at += time.Duration(random.ExpFloat64() / (hotRate + otherRate) * float64(time.Second)) {
@@ -53,7 +53,7 @@
 		elapsed := time.Duration(float64(serviceTime) * random.ExpFloat64())
 		slotFreeAt[slot] = begin + elapsed
 		switch {
-		case begin+elapsed-at > target:
+		case begin+elapsed-at > latencyTarget:
 		case isHot:
 			hotOnTime++
 		default:
@@ -118,9 +118,9 @@
 // Guards against limits from a wrong estimate, which refused requests can never correct.
 func TestLimitsFollowServerReports(t *testing.T) {
 	const estimated, offered = 3.0, 12.0
-	round := func(c *Controller, i, answers, longQueueAnswers int) (float64, bool) {
+	round := func(c *Controller, i, loadReports, longQueueReports int) (float64, bool) {
 		now := t0.Add(time.Duration(i) * time.Second / 2)
-		c.Report("a", answers, longQueueAnswers)
+		c.Report("a", loadReports, longQueueReports)
 		c.EndRound(now)
 		return c.Capacity(now, "a", estimated, offered)
 	}
--- a/core/request/crash/doc.go
+++ b/core/request/crash/doc.go
@@ -9,7 +9,7 @@
 //	if s.ShouldRefuse(now, fingerprint) { ... }
 //	s.RecordAnswer(fingerprint) // the request does not crash servers after all
 //
-// Fingerprints are hashes of a request's content, so that a caller which makes a new id for
+// Fingerprints are hashes of a request's content, so that a caller which makes a new ID for
 // each attempt is recognised too. Suspects are not safe for concurrent use, and their
 // functions return no errors.
 package crash
--- a/core/request/permit/permit_test.go
+++ b/core/request/permit/permit_test.go
@@ -79,10 +79,10 @@
 }
 
 // simulate sends requests with Poisson arrivals to one server of three slots, and returns the
-// fraction that is answered within the target. Callers leave after twice the target, which
+// fraction that is answered within the latency target. Callers leave after twice that time, which
 // cancels their requests at the server. Permits take a round trip between data centres.
 func simulate(offeredLoad float64, issuer *Issuer) float64 {
-	const serviceTime, target, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
+	const serviceTime, latencyTarget, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
 	random := rand.New(rand.NewPCG(7, 7))
 	slotFreeAt := make([]time.Duration, 3)
 	type release struct {
@@ -104,14 +104,14 @@
 		}
 		slot := slices.Index(slotFreeAt, slices.Min(slotFreeAt))
 		startsAt := max(at+networkDelay, slotFreeAt[slot])
-		leavesAt := at + 2*target
+		leavesAt := at + 2*latencyTarget
 		if startsAt >= leavesAt {
 			releases = append(releases, release{leavesAt, id})
 			continue
 		}
 		doneAt := min(leavesAt, startsAt+time.Duration(random.ExpFloat64()*float64(serviceTime)))
 		slotFreeAt[slot] = doneAt
-		if doneAt-at <= target {
+		if doneAt-at <= latencyTarget {
 			onTime++
 		}
 		if issuer != nil {
--- a/core/request/sent/doc.go
+++ b/core/request/sent/doc.go
@@ -1,7 +1,7 @@
-// Package sent records when non-idempotent requests were first sent under their ids.
+// Package sent records when non-idempotent requests were first sent under their IDs.
 //
-// The holder of a key knows which ids it ran. A holder that takes over the key from a server that
-// was lost does not. For an id that is new to it, it must know whether the request may have been
+// The holder of a key knows which IDs it ran. A holder that takes over the key from a server that
+// was lost does not. For an ID that is new to it, it must know whether the request may have been
 // sent to the lost server before; otherwise the request could run twice.
 //
 // # Usage
--- a/core/request/sent/sent_test.go
+++ b/core/request/sent/sent_test.go
@@ -42,10 +42,10 @@
 	})
 }
 
-// Guards against ids that are dropped while their callers may still send them again, and against
-// ids that are never dropped.
+// Guards against IDs that are dropped while their callers may still send them again, and against
+// IDs that are never dropped.
 func TestIDsAreKeptForATime(t *testing.T) {
-	Convey("Ids are kept for at least the retention time and at most twice that time", t, func() {
+	Convey("IDs are kept for at least the retention time and at most twice that time", t, func() {
 		h := New(time.Minute)
 		h.Record(t0, 1)
 		h.Record(t0.Add(50*time.Second), 7)
--- a/core/request/spread/cold.go
+++ b/core/request/spread/cold.go
@@ -15,9 +15,9 @@
 	refilledAt time.Time
 }
 
-// rate is this daemon's share of the request rate allowed at a cold server. The shares are
-// such that the daemons need no coordination: their bursts and their requests in the
-// following second stay within the limit together.
+// rate is this daemon's share of the request rate allowed at a cold server. The daemons need no
+// coordination: the shares are such that all their bursts, together with their requests in the
+// following second, stay within the limit.
 type rate struct {
 	perSecond float64
 	burst     float64
--- a/core/request/spread/main_test.go
+++ b/core/request/spread/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain sets a fixed seed for rapid so that every run tests the same cases. The flag
-// -rapid.seed overrides it.
+// TestMain fixes the seed of rapid, so that every run checks the same values. The flag -rapid.seed
+// overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		fmt.Fprintln(os.Stderr, "cannot set rapid.seed:", err)
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -47,9 +47,10 @@
 	// jitter randomises the costs, so that daemons with the same information spread over
 	// servers of about equal cost.
 	jitter = 0.15
-	// failingThreshold is the failure rate above which a server gets only probe requests.
+	// failingThreshold is the failure rate above which a server gets only a few requests, as
+	// probes.
 	failingThreshold = 0.35
-	// probeShare is the share of requests for which a failing server remains available.
+	// probeShare is the share of requests that may be sent to a failing server as probes.
 	probeShare = 0.04
 	// refusedPause is how long no requests are sent to a server that refused a connection.
 	refusedPause = 400 * time.Millisecond
--- a/core/request/spread/peers.go
+++ b/core/request/spread/peers.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// peerLoad is the number of requests that another daemon has in flight, by server id.
+// peerLoad is the number of requests that another daemon has in flight, by server ID.
 type peerLoad struct {
 	receivedAt time.Time
 	inFlight   map[string]int
 }
 
 // SetPeerLoad records the requests that another daemon of the data centre has in flight, by
-// server id.
+// server ID.
 func (b *Balancer) SetPeerLoad(now time.Time, daemon string, requests map[string]int) {
 	b.peers[daemon] = peerLoad{receivedAt: now, inFlight: requests}
 }
 
 // SetPeerTotal records the requests that all other daemons of the data centre have in flight
-// together, by server id. It replaces the loads of individual daemons.
+// together, by server ID. It replaces the loads of individual daemons.
 func (b *Balancer) SetPeerTotal(now time.Time, requests map[string]int) {
 	clear(b.peers)
 	b.peers[allPeers] = peerLoad{receivedAt: now, inFlight: requests}
@@ -24,7 +24,7 @@
 // allPeers is the key for the total of all other daemons. No daemon has an empty name.
 const allPeers = ""
 
-// TotalLoad returns the requests in flight, by server id, from this daemon and all others
+// TotalLoad returns the requests in flight, by server ID, from this daemon and all others
 // that recently reported to it, except the named one.
 func (b *Balancer) TotalLoad(now time.Time, except string) map[string]int {
 	total := b.OwnLoad()
@@ -39,7 +39,7 @@
 	return total
 }
 
-// OwnLoad returns the requests that this daemon has in flight, by server id.
+// OwnLoad returns the requests that this daemon has in flight, by server ID.
 func (b *Balancer) OwnLoad() map[string]int {
 	load := map[string]int{}
 	for id, st := range b.servers {
--- a/core/request/spread/requirements.go
+++ b/core/request/spread/requirements.go
@@ -21,9 +21,9 @@
 	Deadline   time.Time
 	// LocalDataCentre is the data centre of this daemon.
 	LocalDataCentre string
-	// Excluded lists the ids of servers that must not be chosen.
+	// Excluded lists the IDs of servers that must not be chosen.
 	Excluded []string
-	// LastResort lists the ids of servers whose connection broke while they ran the same
+	// LastResort lists the IDs of servers whose connection broke while they ran the same
 	// request. They are chosen only if no other server can be: a request that crashed a
 	// server is likely to crash it again.
 	LastResort []string
@@ -54,8 +54,8 @@
 	// Contended means that the server or its group seems nearly full, but that so many
 	// daemons send requests there that this daemon's estimate is unreliable.
 	Contended bool
-	// canServeNow means that the server seems to have a free slot and is not much slower
-	// than usual.
+	// canServeNow means that the server seems to have a free slot and not to be much slower
+	// than a server of typical speed.
 	canServeNow bool
 }
 
--- a/core/request/spread/simulation_test.go
+++ b/core/request/spread/simulation_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// choose returns a server and the id of the permit for it. Up to three servers are tried if
+// choose returns a server and the ID of the permit for it. Up to three servers are tried if
 // permits are denied.
 func (sim *simulation) choose(daemon *Balancer, req Requirements) (Choice, uint64) {
 	for range 3 {
--- a/core/request/subset/main_test.go
+++ b/core/request/subset/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that every run gives the same result. The flag
-// -rapid.seed overrides it.
+// TestMain fixes the seed of rapid, so that every run checks the same values. The flag -rapid.seed
+// overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		fmt.Fprintln(os.Stderr, "rapid's seed cannot be set:", err)
--- a/core/version/grant/call.go
+++ b/core/version/grant/call.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// Origin is how a server comes to hold a range. It determines what the server can know about
-// the requests that ran on these keys before.
+// Origin is how a server came to hold a range. It determines what the server can know about the
+// requests that ran on these keys before.
 type Origin string
 
 // Origins of grants.
 const (
-	// Kept means that the server held the range already.
+	// Kept means that the server already held the range.
 	Kept Origin = "kept"
 	// First means that no server held it before.
 	First Origin = "first"
--- a/core/version/grant/main_test.go
+++ b/core/version/grant/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that every run checks the same values; -rapid.seed on the
-// command line sets another one.
+// TestMain fixes the seed of rapid, so that every run checks the same values. The flag -rapid.seed
+// overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		fmt.Fprintln(os.Stderr, "setting rapid.seed:", err)
--- a/core/version/grant/table.go
+++ b/core/version/grant/table.go
@@ -48,7 +48,7 @@
 	Ranges  []Range `json:"ranges"`
 }
 
-// Leader is the daemon that gives grants.
+// Leader is the daemon that grants ranges.
 type Leader struct {
 	Daemon string `json:"daemon"`
 	// Incarnation distinguishes the runs of the daemon's process.
@@ -91,7 +91,7 @@
 // published as completed. The leader stores a completion late, since it can be determined
 // again. A successor that starts from the stored table alone would close ranges whose new
 // holder has confirmed them. This cannot hide a later move: the leader stores the intent of a
-// move first, so t would then not be the stored table.
+// move before it does anything else for it, so t would contain that intent.
 func (t Table) WithCompletedMoves(published Table) Table {
 	if published.Epoch != t.Epoch || published.Seq <= t.Seq {
 		return t
--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -32,8 +32,8 @@
 	// KeySegment is the path segment that holds the key, counted from 1 after the
 	// service's name; zero means that the Catkinstep-Key header holds it.
 	KeySegment int `yaml:"keySegment,omitempty"`
-	// KeyByID makes the request ID the key, for services without keys of their own
-	// whose bookings must run once even if they are retried.
+	// KeyByID makes the request ID the key. It is for services without keys of their own
+	// whose requests must run only once even if callers retry them.
 	KeyByID bool `yaml:"keyByID,omitempty"`
 	// Slots is how many requests one server runs concurrently.
 	Slots int `yaml:"slots"`
