--- a/core/process/boot/boot.go
+++ b/core/process/boot/boot.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 const (
@@ -20,17 +20,17 @@
 // requests needs. It is immutable.
 type Boot struct {
 	startedAt time.Time
-	pending   []news.Kind
+	pending   []object.Kind
 }
 
 // New returns the Boot of a daemon that starts now and has read no list.
 func New(now time.Time) Boot {
-	return Boot{startedAt: now, pending: []news.Kind{news.Config, news.Servers, news.Tables}}
+	return Boot{startedAt: now, pending: []object.Kind{object.Config, object.Servers, object.Tables}}
 }
 
 // WithLoaded returns the Boot after the first list of a kind was read.
-func (b Boot) WithLoaded(kind news.Kind) Boot {
-	b.pending = slices.DeleteFunc(slices.Clone(b.pending), func(k news.Kind) bool { return k == kind })
+func (b Boot) WithLoaded(kind object.Kind) Boot {
+	b.pending = slices.DeleteFunc(slices.Clone(b.pending), func(k object.Kind) bool { return k == kind })
 	return b
 }
 
--- a/core/process/boot/boot_test.go
+++ b/core/process/boot/boot_test.go
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 var t0 = time.Unix(1000, 0)
@@ -16,7 +16,7 @@
 func TestBoot(t *testing.T) {
 	Convey("The boot is done once all lists that requests need are read", t, func() {
 		b := New(t0)
-		for _, k := range []news.Kind{news.Config, news.Tables, news.Daemons, news.Servers} {
+		for _, k := range []object.Kind{object.Config, object.Tables, object.Daemons, object.Servers} {
 			So(b.Done(after(time.Millisecond)), ShouldBeFalse)
 			b = b.WithLoaded(k)
 		}
@@ -33,7 +33,7 @@
 // Guards against requests that wait on and on while the store is unreachable.
 func TestWaitEndsWithoutStore(t *testing.T) {
 	Convey("No request waits longer than the boot timeout", t, func() {
-		b := New(t0).WithLoaded(news.Config)
+		b := New(t0).WithLoaded(object.Config)
 		So(b.MaxWait(after(bootTimeout-time.Millisecond), time.Minute), ShouldEqual, time.Millisecond)
 		So(b.MaxWait(after(bootTimeout), time.Minute), ShouldEqual, 0)
 		So(b.Done(after(bootTimeout)), ShouldBeTrue)
--- a/core/process/boot/doc.go
+++ b/core/process/boot/doc.go
@@ -11,6 +11,6 @@
 //
 //	b := boot.New(now)
 //	wait := b.MaxWait(now, callerTimeout)
-//	b = b.WithLoaded(news.Config)
+//	b = b.WithLoaded(object.Config)
 //	done := b.Done(now)
 package boot
--- a/core/process/pace/doc.go
+++ b/core/process/speed/doc.go
@@ -1,4 +1,4 @@
-// Package pace estimates how slow the backend servers are, from the measurements of all daemons.
+// Package speed estimates how slow the backend servers are, from the measurements of all daemons.
 //
 // Each daemon reports what it measured since its last report. With hundreds of daemons, each one
 // gets an answer from a given server only about once a minute, but all of them together get
@@ -7,7 +7,7 @@
 //
 // # Usage
 //
-//	e := pace.New()
-//	e.Add("a", pace.Sample{Slowdown: 2.5, Answers: 3})
+//	e := speed.New()
+//	e.Add("a", speed.Sample{Slowdown: 2.5, Answers: 3})
 //	slowdowns := e.Slowdowns()
-package pace
+package speed
--- a/core/process/pace/pace.go
+++ b/core/process/speed/speed.go
@@ -1,4 +1,4 @@
-package pace
+package speed
 
 const (
 	// priorWeight is the weight, in answers, of the assumption that a server has a slowdown
--- a/core/process/pace/pace_test.go
+++ b/core/process/speed/speed_test.go
@@ -1,4 +1,4 @@
-package pace
+package speed
 
 import (
 	"fmt"
--- a/core/version/news/news_test.go
+++ b/core/version/object/object_test.go
@@ -1,4 +1,4 @@
-package news
+package object
 
 import (
 	"fmt"
--- a/core/version/gaps/doc.go
+++ b/core/version/reopen/doc.go
@@ -1,4 +1,4 @@
-// Package gaps measures how long ranges of keys stay closed while they move to another holder,
+// Package reopen measures how long ranges of keys stay closed while they move to another holder,
 // and estimates from that when a closed range opens again.
 //
 // A holder releases a range once the requests running on it have ended, which takes as long as
@@ -7,10 +7,10 @@
 //
 // # Usage
 //
-//	estimator := gaps.New()
+//	estimator := reopen.New()
 //	estimator.Observe(now, table, isListed) // each table that comes into force
 //	e := estimator.EstimateOpening(now, service, r, holderListed)
 //	if now.Add(e.P90).Before(latest) { wait } else { refuse with a retry delay of e.Median }
 //
 // An Estimator is not safe for concurrent use.
-package gaps
+package reopen
--- a/core/version/gaps/gaps.go
+++ b/core/version/reopen/reopen.go
@@ -1,4 +1,4 @@
-package gaps
+package reopen
 
 import (
 	"slices"
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -7,7 +7,7 @@
 
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/fleet"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/core/version/site"
 )
 
@@ -16,25 +16,25 @@
 
 // translate turns the stored site into the objects of a kind that daemons act
 // on. All bear the version at which the site was read.
-func translate(kind news.Kind, s site.Site, version uint64) ([]news.Item, error) {
-	var out []news.Item
+func translate(kind object.Kind, s site.Site, version uint64) ([]object.Item, error) {
+	var out []object.Item
 	add := func(name string, v any) error {
 		value, err := json.Marshal(v)
 		if err == nil {
-			out = append(out, news.Item{Name: name, Revision: version, Value: value})
+			out = append(out, object.Item{Name: name, Revision: version, Value: value})
 		}
 		return err
 	}
 	switch kind {
-	case news.Config:
+	case object.Config:
 		return out, add(configName, configOf(s, version))
-	case news.Servers:
+	case object.Servers:
 		for _, v := range serversOf(s) {
 			if err := add(v.ID, v); err != nil {
 				return nil, err
 			}
 		}
-	case news.Exclusions:
+	case object.Exclusions:
 		for _, d := range s.DataCentres {
 			if s.DataCentreExcluded(d.Name) {
 				if err := add(d.Name, struct{}{}); err != nil {
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/core/version/site"
 	"catkinstep/io/connection/plat"
 )
@@ -16,9 +16,9 @@
 
 // prefixes are the names of the objects that a kind is made of. Three kinds are
 // all read from the site.
-var prefixes = map[news.Kind]string{
-	news.Config: SiteObject, news.Servers: SiteObject, news.Exclusions: SiteObject,
-	news.Daemons: "daemons/", news.Tables: "tables/",
+var prefixes = map[object.Kind]string{
+	object.Config: SiteObject, object.Servers: SiteObject, object.Exclusions: SiteObject,
+	object.Daemons: "daemons/", object.Tables: "tables/",
 }
 
 // Store is the product's own objects as daemons read and write them. It
@@ -29,10 +29,10 @@
 func NewStore(c *plat.Client) *Store { return &Store{client: c} }
 
 // List returns all objects of a kind, always as they are.
-func (s *Store) List(ctx context.Context, kind news.Kind, _ bool) (news.Delta, error) {
+func (s *Store) List(ctx context.Context, kind object.Kind, _ bool) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, prefixes[kind], 0, 0)
 	if err != nil {
-		return news.Delta{}, unreachable("list "+string(kind), err)
+		return object.Delta{}, unreachable("list "+string(kind), err)
 	}
 	d, err := delta(kind, c)
 	d.Whole = true
@@ -40,10 +40,10 @@
 }
 
 // Watch waits for changes after a revision.
-func (s *Store) Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error) {
+func (s *Store) Watch(ctx context.Context, kind object.Kind, since uint64, wait time.Duration) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, prefixes[kind], since, wait)
 	if err != nil {
-		return news.Delta{}, unreachable("watch "+string(kind), err)
+		return object.Delta{}, unreachable("watch "+string(kind), err)
 	}
 	d, err := delta(kind, c)
 	d.Through = max(d.Through, since)
@@ -51,49 +51,49 @@
 }
 
 // Read returns one object.
-func (s *Store) Read(ctx context.Context, kind news.Kind, name string) (news.Item, error) {
+func (s *Store) Read(ctx context.Context, kind object.Kind, name string) (object.Item, error) {
 	o, err := s.client.Read(ctx, prefixes[kind]+name)
 	if err != nil {
-		return news.Item{}, unreachable("read "+name, err)
+		return object.Item{}, unreachable("read "+name, err)
 	}
 	if o == nil {
-		return news.Item{}, &news.Error{Op: "read " + name, Kind: news.Missing, Err: errNone}
+		return object.Item{}, &object.Error{Op: "read " + name, Kind: object.Missing, Err: errNone}
 	}
-	return news.Item{Name: name, Revision: o.Version, Value: o.Value}, nil
+	return object.Item{Name: name, Revision: o.Version, Value: o.Value}, nil
 }
 
 // Save replaces an object that is at a revision.
-func (s *Store) Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error) {
+func (s *Store) Save(ctx context.Context, kind object.Kind, name string, value []byte, revision uint64) (object.Item, error) {
 	op := "save " + name
 	o, err := s.client.Write(ctx, prefixes[kind]+name, revision, value)
 	switch {
 	case err == nil:
-		return news.Item{Name: name, Revision: o.Version, Value: value}, nil
+		return object.Item{Name: name, Revision: o.Version, Value: value}, nil
 	case plat.IsKind(err, plat.OutcomeUnknown):
-		return news.Item{}, &news.Error{Op: op, Kind: news.OutcomeUnknown, Err: err}
+		return object.Item{}, &object.Error{Op: op, Kind: object.OutcomeUnknown, Err: err}
 	case !plat.IsKind(err, plat.Conflict):
-		return news.Item{}, unreachable(op, err)
+		return object.Item{}, unreachable(op, err)
 	}
 	it, rerr := s.Read(ctx, kind, name)
 	if rerr != nil {
-		return news.Item{}, rerr
+		return object.Item{}, rerr
 	}
-	return it, &news.Error{Op: op, Kind: news.Conflict, Err: err}
+	return it, &object.Error{Op: op, Kind: object.Conflict, Err: err}
 }
 
 var errNone = errors.New("there is no such object")
 
 func unreachable(op string, err error) error {
-	return &news.Error{Op: op, Kind: news.Unreachable, Err: err}
+	return &object.Error{Op: op, Kind: object.Unreachable, Err: err}
 }
 
 // delta turns changed objects into news of a kind. A site that changed replaces
 // all that was made of it.
-func delta(kind news.Kind, c plat.Changes) (news.Delta, error) {
-	d := news.Delta{Kind: kind, Through: c.Revision}
+func delta(kind object.Kind, c plat.Changes) (object.Delta, error) {
+	d := object.Delta{Kind: kind, Through: c.Revision}
 	for _, o := range c.Objects {
 		if prefixes[kind] != SiteObject {
-			d.Items = append(d.Items, news.Item{Name: strings.TrimPrefix(o.Name, prefixes[kind]), Revision: o.Version, Value: o.Value})
+			d.Items = append(d.Items, object.Item{Name: strings.TrimPrefix(o.Name, prefixes[kind]), Revision: o.Version, Value: o.Value})
 			continue
 		}
 		if o.Name != SiteObject {
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/caller"
 )
 
@@ -28,7 +28,7 @@
 
 // recordLoaded records that the first list of a kind was read. Once the boot phase is done, it
 // releases the waiting requests.
-func (c *control) recordLoaded(now time.Time, kind news.Kind) {
+func (c *control) recordLoaded(now time.Time, kind object.Kind) {
 	select {
 	case <-c.r.bootDone:
 		return
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"catkinstep/core/version/config"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/caller"
 )
 
@@ -24,22 +24,22 @@
 		go func() { status <- r.handle(ctx, q).Status }()
 		return status
 	}
-	list := func(r *Router, kind news.Kind, items ...news.Item) {
-		r.control.update(t0, deltaMsg{delta: news.Delta{Kind: kind, Items: items, Through: 9, CurrentAt: t0}})
+	list := func(r *Router, kind object.Kind, items ...object.Item) {
+		r.control.update(t0, deltaMsg{delta: object.Delta{Kind: kind, Items: items, Through: 9, CurrentAt: t0}})
 	}
 	Convey("Requests wait until all lists are read", t, func() {
 		r := newTestRouter()
 		status := ask(context.Background(), r)
 		v, err := json.Marshal(config.Config{Version: 4})
 		So(err, ShouldBeNil)
-		list(r, news.Config, news.Item{Name: "main", Revision: 9, Value: v})
-		list(r, news.Servers, serverItem("a", 5))
+		list(r, object.Config, object.Item{Name: "main", Revision: 9, Value: v})
+		list(r, object.Servers, serverItem("a", 5))
 		select {
 		case got := <-status:
 			So(got, ShouldEqual, "nothing before the last list")
 		case <-time.After(20 * time.Millisecond):
 		}
-		list(r, news.Tables)
+		list(r, object.Tables)
 		So(<-status, ShouldEqual, http.StatusNotFound)
 		So(<-ask(context.Background(), r), ShouldEqual, http.StatusNotFound)
 	})
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -13,7 +13,7 @@
 	"catkinstep/core/process/member"
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 // Messages to the control loop.
@@ -23,7 +23,7 @@
 	// deltaMsg carries changes to the objects of one kind, from the store or another
 	// daemon. done, if set, is closed once they are applied.
 	deltaMsg struct {
-		delta     news.Delta
+		delta     object.Delta
 		fromStore bool
 		done      chan struct{}
 	}
@@ -68,8 +68,8 @@
 // control is the state that the control loop owns.
 type control struct {
 	r              *Router
-	caches         map[news.Kind]*news.Cache
-	knownRevisions map[news.Kind]*atomic.Uint64
+	caches         map[object.Kind]*object.Cache
+	knownRevisions map[object.Kind]*atomic.Uint64
 	// isReader is set while this daemon reads the store on behalf of the others.
 	isReader atomic.Bool
 	// localRank is the number of live daemons of the data centre that rank before this one.
@@ -119,19 +119,19 @@
 
 func newControl(r *Router, now time.Time) *control {
 	c := &control{
-		r: r, caches: map[news.Kind]*news.Cache{}, knownRevisions: map[news.Kind]*atomic.Uint64{},
+		r: r, caches: map[object.Kind]*object.Cache{}, knownRevisions: map[object.Kind]*atomic.Uint64{},
 		members: member.New(r.self, now), serverList: newServerList(),
 		gossipPending: map[string]bool{}, pendingFetches: pendingFetches{}, encodedTables: map[uint64][]byte{}, lastCountReport: countReport{sentAt: now}, loadStats: newSiteCounts(), startedAt: now, boot: boot.New(now), seeds: r.settings.Seeds,
 	}
-	for _, k := range news.Kinds {
-		c.caches[k], c.knownRevisions[k] = news.NewCache(k), &atomic.Uint64{}
+	for _, k := range object.Kinds {
+		c.caches[k], c.knownRevisions[k] = object.NewCache(k), &atomic.Uint64{}
 	}
 	return c
 }
 
 // knownRevision is the revision up to which all changes to a kind of objects are known.
 // It is safe for concurrent use.
-func (c *control) knownRevision(kind news.Kind) uint64 { return c.knownRevisions[kind].Load() }
+func (c *control) knownRevision(kind object.Kind) uint64 { return c.knownRevisions[kind].Load() }
 
 // update handles one message.
 func (c *control) update(now time.Time, m any) {
@@ -177,7 +177,7 @@
 }
 
 func (c *control) tick(now time.Time) {
-	c.isReader.Store(c.members.ShouldRead(now, c.caches[news.Servers].CurrentAt(), c.keeper != nil))
+	c.isReader.Store(c.members.ShouldRead(now, c.caches[object.Servers].CurrentAt(), c.keeper != nil))
 	c.localRank.Store(int64(c.members.LocalRank(now)))
 	if c.due(now, &c.lastRuns.standbyCheck, standbyCheckInterval) {
 		c.isStandbyReader.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
@@ -239,17 +239,17 @@
 	if len(changed) == 0 {
 		return
 	}
-	urgent := m.delta.Kind != news.Daemons
+	urgent := m.delta.Kind != object.Daemons
 	switch m.delta.Kind {
-	case news.Config:
+	case object.Config:
 		c.applyConfig(changed)
-	case news.Servers:
+	case object.Servers:
 		urgent = c.applyServers(now, changed, m.fromStore)
-	case news.Exclusions:
+	case object.Exclusions:
 		c.applyOuts(changed)
-	case news.Daemons:
+	case object.Daemons:
 		c.applyDaemons(changed)
-	case news.Tables:
+	case object.Tables:
 		c.applyStoredTable(now, changed)
 	}
 	if urgent {
@@ -259,7 +259,7 @@
 
 // applyConfig puts a newer configuration in force. An older version never replaces a
 // newer one, in whichever order they arrive.
-func (c *control) applyConfig(changed []news.Item) {
+func (c *control) applyConfig(changed []object.Item) {
 	for _, it := range changed {
 		var next config.Config
 		if it.Removed || json.Unmarshal(it.Value, &next) != nil {
@@ -282,7 +282,7 @@
 	}
 }
 
-func (c *control) applyDaemons(changed []news.Item) {
+func (c *control) applyDaemons(changed []object.Item) {
 	for _, it := range changed {
 		var m member.Member
 		if !it.Removed && json.Unmarshal(it.Value, &m) == nil {
@@ -315,7 +315,7 @@
 	}
 }
 
-func (c *control) applyStoredTable(now time.Time, changed []news.Item) {
+func (c *control) applyStoredTable(now time.Time, changed []object.Item) {
 	for _, it := range changed {
 		if it.Name != tableName {
 			continue
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -15,7 +15,7 @@
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/fleet"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/caller"
 	"catkinstep/io/connection/link"
 	"catkinstep/io/process/setup"
@@ -48,13 +48,13 @@
 	return r
 }
 
-func serverItem(id string, revision uint64) news.Item {
+func serverItem(id string, revision uint64) object.Item {
 	v, _ := json.Marshal(fleet.Server{ID: id, Address: id, Service: "s", DataCentre: "x", Slots: 3, StartMillis: 1})
-	return news.Item{Name: id, Revision: revision, Value: v}
+	return object.Item{Name: id, Revision: revision, Value: v}
 }
 
-func (r *Router) updateServers(at time.Time, through uint64, items ...news.Item) {
-	r.control.update(at, deltaMsg{delta: news.Delta{Kind: news.Servers, Items: items, Through: through, CurrentAt: at}})
+func (r *Router) updateServers(at time.Time, through uint64, items ...object.Item) {
+	r.control.update(at, deltaMsg{delta: object.Delta{Kind: object.Servers, Items: items, Through: through, CurrentAt: at}})
 }
 
 func (r *Router) hasServer(id string) bool {
@@ -69,7 +69,7 @@
 		r := newTestRouter()
 		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
 		r.updateServers(atSecond(3.3), 20)
-		r.updateServers(atSecond(3.6), 30, news.Item{Name: "a", Revision: 25, Removed: true})
+		r.updateServers(atSecond(3.6), 30, object.Item{Name: "a", Revision: 25, Removed: true})
 		So(r.hasServer("a"), ShouldBeFalse)
 		So(r.hasServer("b"), ShouldBeTrue)
 	})
@@ -81,13 +81,13 @@
 	Convey("Servers whose entries vanish are retained until two seconds after the outage, and not after that", t, func() {
 		r := newTestRouter()
 		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6), serverItem("c", 7))
-		r.updateServers(atSecond(6), 30, news.Item{Name: "a", Revision: 25, Removed: true}, news.Item{Name: "b", Revision: 26, Removed: true})
+		r.updateServers(atSecond(6), 30, object.Item{Name: "a", Revision: 25, Removed: true}, object.Item{Name: "b", Revision: 26, Removed: true})
 		So(r.hasServer("a"), ShouldBeTrue)
 		r.updateServers(atSecond(7), 40, serverItem("b", 35))
 		r.control.dropExpired(atSecond(8.3))
 		So(r.hasServer("a"), ShouldBeFalse)
 		So(r.hasServer("b"), ShouldBeTrue)
-		r.updateServers(atSecond(8.4), 50, news.Item{Name: "c", Revision: 45, Removed: true})
+		r.updateServers(atSecond(8.4), 50, object.Item{Name: "c", Revision: 45, Removed: true})
 		So(r.hasServer("c"), ShouldBeFalse)
 	})
 }
@@ -99,8 +99,8 @@
 		apply := func(revision, version uint64, service string) {
 			v, _ := json.Marshal(config.Config{Version: version, Services: []config.Service{{Name: "s"}},
 				Routes: []config.Route{{Name: "r", Host: "h", Prefix: "/", Destinations: []config.Destination{{Service: service, Weight: 1}}}}})
-			r.control.update(t0, deltaMsg{delta: news.Delta{Kind: news.Config, Through: revision,
-				Items: []news.Item{{Name: "main", Revision: revision, Value: v}}}})
+			r.control.update(t0, deltaMsg{delta: object.Delta{Kind: object.Config, Through: revision,
+				Items: []object.Item{{Name: "main", Revision: revision, Value: v}}}})
 		}
 		apply(10, 4, "s")
 		apply(12, 3, "s")
@@ -163,7 +163,7 @@
 	Convey("Only its revision is kept, for the conditional write that replaces it", t, func() {
 		for _, value := range []string{`{"epoch":3,"seq":1,"leader":{},"shares":5}`, `{"epoch":"x"}`, `{`} {
 			r := newTestRouter()
-			r.control.update(atSecond(1), deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, CurrentAt: atSecond(1)}})
+			r.control.update(atSecond(1), deltaMsg{delta: object.Delta{Kind: object.Tables, Items: []object.Item{{Name: tableName, Revision: 7, Value: []byte(value)}}, Through: 7, CurrentAt: atSecond(1)}})
 			So(r.current.Load().table.Epoch, ShouldEqual, 0)
 			So(r.control.stored, ShouldResemble, storedTable{revision: 7})
 		}
--- a/io/process/router/fetch.go
+++ b/io/process/router/fetch.go
@@ -7,7 +7,7 @@
 
 	"catkinstep/core/connection/wire"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 // slowFetchThreshold is how long a fetch may take before another daemon is asked as well.
@@ -71,9 +71,9 @@
 		r.post(tableMsg{table: t})
 		return
 	}
-	out := news.Delta{Kind: news.Kind(f.Kind), Through: d.Through, Whole: d.Whole, CurrentAt: timeFromAge(requestedAt, d.AgeMillis)}
+	out := object.Delta{Kind: object.Kind(f.Kind), Through: d.Through, Whole: d.Whole, CurrentAt: timeFromAge(requestedAt, d.AgeMillis)}
 	for _, it := range d.Items {
-		out.Items = append(out.Items, news.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
+		out.Items = append(out.Items, object.Item{Name: it.Name, Revision: it.Revision, Removed: it.Removed, Value: it.Value})
 	}
 	r.post(deltaMsg{delta: out})
 }
@@ -97,7 +97,7 @@
 	if f.Kind == tableKind {
 		return c.answerTableFetch(f)
 	}
-	cache := c.caches[news.Kind(f.Kind)]
+	cache := c.caches[object.Kind(f.Kind)]
 	if cache == nil {
 		return &wire.Delta{Kind: f.Kind}
 	}
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -8,7 +8,7 @@
 	"catkinstep/core/connection/wire"
 	"catkinstep/core/process/member"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/mesh"
 )
 
@@ -100,7 +100,7 @@
 		Leaving: c.leaving || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: ageMillis(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: ageMillis(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
 		Leader: t.Leader.Daemon, LeaderIncarnation: t.Leader.Incarnation, LeaderAgeMillis: c.leaderAge(now, t.Leader),
 	}
-	for _, k := range news.Kinds {
+	for _, k := range object.Kinds {
 		cache := c.caches[k]
 		g.Known = append(g.Known, &wire.Known{Kind: string(k), Through: cache.Through(), AgeMillis: ageMillis(now, cache.CurrentAt())})
 	}
@@ -190,7 +190,7 @@
 		c.fetch(now, g.Address, &wire.Fetch{Kind: tableKind, Since: t.Seq, Epoch: t.Epoch})
 	}
 	for _, k := range g.Known {
-		cache := c.caches[news.Kind(k.Kind)]
+		cache := c.caches[object.Kind(k.Kind)]
 		if cache == nil {
 			continue
 		}
@@ -198,8 +198,8 @@
 			c.fetch(now, g.Address, &wire.Fetch{Kind: k.Kind, Since: cache.Through()})
 		} else if k.Through == cache.Through() && k.Through > 0 {
 			before := cache.CurrentAt()
-			cache.Merge(news.Delta{Kind: news.Kind(k.Kind), Through: k.Through, CurrentAt: timeFromAge(now, k.AgeMillis)})
-			c.detectOutageEnd(now, news.Kind(k.Kind), before)
+			cache.Merge(object.Delta{Kind: object.Kind(k.Kind), Through: k.Through, CurrentAt: timeFromAge(now, k.AgeMillis)})
+			c.detectOutageEnd(now, object.Kind(k.Kind), before)
 		}
 	}
 }
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -7,7 +7,7 @@
 
 	"catkinstep/core/process/keeper"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/link"
 )
 
@@ -17,7 +17,7 @@
 // tryTakeLead starts an attempt to become the leader if the known leader appears to have
 // ended or stepped down.
 func (c *control) tryTakeLead(now time.Time) {
-	if c.keeper != nil || c.leadership.acquiring || c.leaving || c.knownRevision(news.Tables) == 0 || len(c.r.current.Load().keyedServices()) == 0 {
+	if c.keeper != nil || c.leadership.acquiring || c.leaving || c.knownRevision(object.Tables) == 0 || len(c.r.current.Load().keyedServices()) == 0 {
 		return
 	}
 	shouldTake, _ := c.members.ShouldTakeLead(now, c.stored.header.Leader)
@@ -77,7 +77,7 @@
 // runKeeper passes the current state to the keeper and lets it act.
 func (c *control) runKeeper(now time.Time) {
 	c.updateKeeperFleet(now)
-	c.updateKeeper(now, keeper.EpochSeenMsg{Epoch: c.stored.header.Epoch, At: c.caches[news.Tables].CurrentAt()})
+	c.updateKeeper(now, keeper.EpochSeenMsg{Epoch: c.stored.header.Epoch, At: c.caches[object.Tables].CurrentAt()})
 	if c.keeper != nil && c.members.HasSteppedDown(c.leadership.previous, c.keeper.Table().Epoch) {
 		c.updateKeeper(now, keeper.PreviousLeaderStoppedMsg{At: now})
 	}
@@ -176,17 +176,17 @@
 
 // saveTable replaces the stored table if it is at the given revision. On a conflict it
 // returns the table in the store.
-func (r *Router) saveTable(t grant.Table, revision uint64) (news.Item, error) {
+func (r *Router) saveTable(t grant.Table, revision uint64) (object.Item, error) {
 	value, err := t.Marshal()
 	if err != nil {
-		return news.Item{}, err
+		return object.Item{}, err
 	}
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
 	defer cancel()
 	r.meters.increment("store.save.tables")
-	item, err := r.store.Save(ctx, news.Tables, tableName, value, revision)
+	item, err := r.store.Save(ctx, object.Tables, tableName, value, revision)
 	if item.Revision > 0 {
-		r.post(deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{item}}})
+		r.post(deltaMsg{delta: object.Delta{Kind: object.Tables, Items: []object.Item{item}}})
 	}
 	return item, err
 }
@@ -196,8 +196,8 @@
 func (r *Router) saveKeeperTable(cmd keeper.SaveCmd) {
 	requestedAt := r.now()
 	item, err := r.saveTable(cmd.Table, cmd.Revision)
-	var e *news.Error
-	if err != nil && (!errors.As(err, &e) || e.Kind != news.Conflict) {
+	var e *object.Error
+	if err != nil && (!errors.As(err, &e) || e.Kind != object.Conflict) {
 		r.log.Warn("keys: table not saved", "seq", cmd.Table.Seq, "err", err)
 		r.post(keeperMsg{msg: keeper.StoreFailedMsg{}})
 		return
@@ -216,19 +216,19 @@
 	r.postStoredTable(item, requestedAt)
 }
 
-func (r *Router) readTable(ctx context.Context) (news.Item, error) {
+func (r *Router) readTable(ctx context.Context) (object.Item, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	item, err := r.store.Read(ctx, news.Tables, tableName)
+	item, err := r.store.Read(ctx, object.Tables, tableName)
 	if err != nil {
 		r.log.Warn("keys: could not read table", "err", err)
 		return item, err
 	}
-	r.post(deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{item}}})
+	r.post(deltaMsg{delta: object.Delta{Kind: object.Tables, Items: []object.Item{item}}})
 	return item, nil
 }
 
-func (r *Router) postStoredTable(item news.Item, requestedAt time.Time) {
+func (r *Router) postStoredTable(item object.Item, requestedAt time.Time) {
 	t, err := grant.Unmarshal(item.Value)
 	if err != nil {
 		r.log.Error("keys: could not decode stored table", "revision", item.Revision, "err", err)
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -9,7 +9,7 @@
 	"catkinstep/core/connection/names"
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/grant"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/io/connection/caller"
 	"catkinstep/io/connection/link"
 )
@@ -96,18 +96,18 @@
 )
 
 // Store is the platform's object store, independent of the platform's API. Errors are of
-// type *news.Error.
+// type *object.Error.
 type Store interface {
 	// List returns all objects of a kind. If allowStale is set, the list may be some
 	// seconds old, which costs the store little.
-	List(ctx context.Context, kind news.Kind, allowStale bool) (news.Delta, error)
+	List(ctx context.Context, kind object.Kind, allowStale bool) (object.Delta, error)
 	// Watch returns the changes after a revision, or none if there are none within wait.
-	Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error)
+	Watch(ctx context.Context, kind object.Kind, since uint64, wait time.Duration) (object.Delta, error)
 	// Read returns one object.
-	Read(ctx context.Context, kind news.Kind, name string) (news.Item, error)
+	Read(ctx context.Context, kind object.Kind, name string) (object.Item, error)
 	// Save replaces an object if it is at the given revision, or creates it if revision is
 	// 0. On a conflict it returns the object in the store.
-	Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error)
+	Save(ctx context.Context, kind object.Kind, name string, value []byte, revision uint64) (object.Item, error)
 }
 
 // Protocol defines the platform's requests and headers towards backend servers and callers.
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"catkinstep/core/process/member"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 // roleCheckInterval is the time between two checks whether this daemon should read the store.
@@ -14,7 +14,7 @@
 
 // readKind reads the objects of one kind from the store and follows their changes,
 // whenever this daemon should do so, until the router stops.
-func (r *Router) readKind(kind news.Kind) error {
+func (r *Router) readKind(kind object.Kind) error {
 	ctx := r.tomb.Context(context.Background())
 	backoff, listed, storeUp := minBackoff, false, true
 	for r.tomb.Alive() {
@@ -49,7 +49,7 @@
 		switch {
 		case !r.control.isReader.Load():
 			sleep(ctx, standbyReadPause)
-		case kind == news.Servers:
+		case kind == object.Servers:
 			sleep(ctx, serverReadPause)
 		}
 	}
@@ -59,8 +59,8 @@
 // shouldReadKind reports whether this daemon should read a kind of object from the store
 // now. Every daemon reads all kinds once after its start. The standby reader reads only
 // the kinds that decide where requests go.
-func (r *Router) shouldReadKind(kind news.Kind) bool {
-	urgent := kind == news.Config || kind == news.Servers || kind == news.Exclusions
+func (r *Router) shouldReadKind(kind object.Kind) bool {
+	urgent := kind == object.Config || kind == object.Servers || kind == object.Exclusions
 	return r.control.isReader.Load() || r.control.knownRevision(kind) == 0 || urgent && r.control.isStandbyReader.Load()
 }
 
@@ -82,7 +82,7 @@
 // same time are most of the requests to the store in an hour. After a failed call
 // (storeUp is false) the store may be down, and a long watch that began then would receive
 // nothing even once the store is back, so a short watch comes first.
-func (r *Router) listOrWatch(ctx context.Context, kind news.Kind, listed, storeUp bool) (news.Delta, error) {
+func (r *Router) listOrWatch(ctx context.Context, kind object.Kind, listed, storeUp bool) (object.Delta, error) {
 	since := r.control.knownRevision(kind)
 	if !listed || since == 0 {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -93,7 +93,7 @@
 	switch {
 	case !storeUp:
 		wait = probeWatchWait
-	case kind == news.Servers:
+	case kind == object.Servers:
 		wait = serverWatchWait
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
@@ -102,8 +102,8 @@
 }
 
 func isHistoryLost(err error) bool {
-	var e *news.Error
-	return errors.As(err, &e) && e.Kind == news.HistoryLost
+	var e *object.Error
+	return errors.As(err, &e) && e.Kind == object.HistoryLost
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -29,8 +29,8 @@
 	"catkinstep/core/request/sent"
 	"catkinstep/core/request/spread"
 	"catkinstep/core/version/fleet"
-	"catkinstep/core/version/gaps"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
+	"catkinstep/core/version/reopen"
 	"catkinstep/io/connection/caller"
 	"catkinstep/io/connection/mesh"
 	"catkinstep/io/process/clock"
@@ -71,7 +71,7 @@
 	unansweredBuffer piggybackBuffer[sentRecord]
 	burn             *burn.Meter
 	// gaps estimates how long ranges stay closed.
-	gaps      *gaps.Estimator
+	gaps      *reopen.Estimator
 	admission *admit.Limiter
 	permits   permits
 	// bootDone is closed once requests no longer wait for the first lists from the store.
@@ -123,7 +123,7 @@
 	}
 	r.clientPool.names = p.Names()
 	r.burn = burn.New(r.now())
-	r.gaps = gaps.New()
+	r.gaps = reopen.New()
 	seed := seedOf(r.self)
 	r.admission = admit.NewLimiter(seed)
 	r.permits.issuer, r.permits.absentUntil, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
@@ -159,7 +159,7 @@
 	r.log.Info("router: start", "name", r.self.Name, "dataCentre", r.self.DataCentre, "incarnation", r.self.Incarnation, "callers", r.settings.Callers)
 	r.tomb.Go(func() error { return r.callers.Serve(l) })
 	r.tomb.Go(r.loop)
-	for _, kind := range news.Kinds {
+	for _, kind := range object.Kinds {
 		r.tomb.Go(func() error { return r.readKind(kind) })
 	}
 	r.tomb.Go(r.register)
@@ -256,14 +256,14 @@
 	revision, backoff := uint64(0), minBackoff
 	for r.tomb.Alive() {
 		ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
-		item, err := r.store.Save(ctx, news.Daemons, r.self.Name, value, revision)
+		item, err := r.store.Save(ctx, object.Daemons, r.self.Name, value, revision)
 		cancel()
 		if err == nil {
-			r.post(deltaMsg{delta: news.Delta{Kind: news.Daemons, Items: []news.Item{item}}})
+			r.post(deltaMsg{delta: object.Delta{Kind: object.Daemons, Items: []object.Item{item}}})
 			return nil
 		}
-		var e *news.Error
-		if errors.As(err, &e) && e.Kind == news.Conflict {
+		var e *object.Error
+		if errors.As(err, &e) && e.Kind == object.Conflict {
 			revision = item.Revision
 			continue
 		}
--- a/io/process/router/servers.go
+++ b/io/process/router/servers.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"catkinstep/core/version/fleet"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 // serverList holds the servers that the store lists, by id, and those whose entries
@@ -44,7 +44,7 @@
 }
 
 // apply applies changed entries.
-func (l *serverList) apply(now time.Time, changed []news.Item) serverChanges {
+func (l *serverList) apply(now time.Time, changed []object.Item) serverChanges {
 	var changes serverChanges
 	for _, it := range changed {
 		changes.revision = max(changes.revision, it.Revision)
@@ -122,8 +122,8 @@
 
 // detectOutageEnd records the end of an outage of the store: there were no updates of the
 // servers for so long that entries may have expired although their servers are alive.
-func (c *control) detectOutageEnd(now time.Time, kind news.Kind, previouslyCurrentAt time.Time) {
-	if kind != news.Servers || previouslyCurrentAt.IsZero() || c.caches[kind].CurrentAt().Sub(previouslyCurrentAt) < minOutage {
+func (c *control) detectOutageEnd(now time.Time, kind object.Kind, previouslyCurrentAt time.Time) {
+	if kind != object.Servers || previouslyCurrentAt.IsZero() || c.caches[kind].CurrentAt().Sub(previouslyCurrentAt) < minOutage {
 		return
 	}
 	c.serverList.outageEndedAt = now
@@ -132,7 +132,7 @@
 
 // applyServers applies changed entries of servers, and reports whether other daemons
 // should learn of them at once.
-func (c *control) applyServers(now time.Time, changed []news.Item, fromStore bool) (isUrgent bool) {
+func (c *control) applyServers(now time.Time, changed []object.Item, fromStore bool) (isUrgent bool) {
 	isFirst := len(c.serverList.listed) == 0
 	changes := c.serverList.apply(now, changed)
 	for _, it := range changed {
@@ -159,7 +159,7 @@
 	ids := slices.Concat(changes.unusable, changes.removed, changes.draining, changes.restarted, changes.added)
 	c.r.log.Info("servers: changed", "came", len(changes.added), "restarted", len(changes.restarted), "draining", len(changes.draining), "gone", len(changes.removed),
 		"notUsable", len(changes.unusable), "listed", len(c.serverList.listed), "ids", ids[:min(maxLoggedIDs, len(ids))],
-		"revision", changes.revision, "age", now.Sub(c.caches[news.Servers].CurrentAt()).String(), "sinceOutage", durationSince(now, c.serverList.outageEndedAt))
+		"revision", changes.revision, "age", now.Sub(c.caches[object.Servers].CurrentAt()).String(), "sinceOutage", durationSince(now, c.serverList.outageEndedAt))
 }
 
 // logEachServerChange logs a line for each server that changed. Only the daemon that read
@@ -198,7 +198,7 @@
 // applyOuts takes data centres out of service or back in. Servers of a data centre that
 // is taken back may have restarted shortly before, so they count as cold until their
 // entries say otherwise.
-func (c *control) applyOuts(changed []news.Item) {
+func (c *control) applyOuts(changed []object.Item) {
 	for _, it := range changed {
 		c.r.log.Info("outs: changed", "dataCentre", it.Name, "out", !it.Removed, "revision", it.Revision)
 		if it.Removed {
@@ -212,7 +212,7 @@
 // that are no longer in it.
 func (c *control) updateFleet() {
 	out := map[string]bool{}
-	for _, it := range c.caches[news.Exclusions].List() {
+	for _, it := range c.caches[object.Exclusions].List() {
 		out[it.Name] = true
 	}
 	f := fleet.New(c.serverList.list())
--- a/io/process/router/servers_test.go
+++ b/io/process/router/servers_test.go
@@ -9,7 +9,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 )
 
 // Guards against a log line from every daemon for every server, which would crowd out the
@@ -19,11 +19,11 @@
 		var logged bytes.Buffer
 		r := newTestRouter()
 		r.log = slog.New(slog.NewJSONHandler(&logged, nil))
-		var added, removed []news.Item
+		var added, removed []object.Item
 		for i := range 540 {
 			id := fmt.Sprintf("s%d", i)
 			added = append(added, serverItem(id, uint64(i+1)))
-			removed = append(removed, news.Item{Name: id, Revision: uint64(1000 + i), Removed: true})
+			removed = append(removed, object.Item{Name: id, Revision: uint64(1000 + i), Removed: true})
 		}
 		r.updateServers(atSecond(1), 600, added...)
 		So(r.current.Load().fleet.All(), ShouldHaveLength, 540)
@@ -38,8 +38,8 @@
 		r := newTestRouter()
 		r.log = slog.New(slog.NewJSONHandler(&logged, nil))
 		r.updateServers(atSecond(1), 10, serverItem("a", 5), serverItem("b", 6))
-		r.control.update(atSecond(2), deltaMsg{fromStore: true, delta: news.Delta{Kind: news.Servers, Through: 20, CurrentAt: atSecond(2),
-			Items: []news.Item{{Name: "a", Revision: 15, Removed: true}, serverItem("c", 16)}}})
+		r.control.update(atSecond(2), deltaMsg{fromStore: true, delta: object.Delta{Kind: object.Servers, Through: 20, CurrentAt: atSecond(2),
+			Items: []object.Item{{Name: "a", Revision: 15, Removed: true}, serverItem("c", 16)}}})
 		So(logged.String(), ShouldContainSubstring, `"msg":"servers: gone","server":"a"`)
 		So(logged.String(), ShouldContainSubstring, `"msg":"servers: entry","server":"c"`)
 	})
--- a/io/process/router/sitecounts.go
+++ b/io/process/router/sitecounts.go
@@ -5,8 +5,8 @@
 
 	"catkinstep/core/connection/wire"
 	"catkinstep/core/process/keeper"
-	"catkinstep/core/process/pace"
 	"catkinstep/core/process/rate"
+	"catkinstep/core/process/speed"
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/fleet"
 )
@@ -14,14 +14,14 @@
 // siteCounts are the leader's sums of all daemons' request counts and server statistics.
 type siteCounts struct {
 	meter     *rate.Meter
-	slowdowns *pace.Estimator
+	slowdowns *speed.Estimator
 	// queueReports are the reports on the servers' queues since the last window.
 	queueReports []keeper.QueueReport
 }
 
 // serverStats are the measurements of a server since the last report.
 type serverStats struct {
-	pace.Sample
+	speed.Sample
 	// loadReports and fullReports are the numbers of answers that reported the load, and
 	// that reported a long queue.
 	loadReports, fullReports int
@@ -29,7 +29,7 @@
 
 // serverStatsFrom converts another daemon's message.
 func serverStatsFrom(p *wire.Pace) serverStats {
-	return serverStats{Sample: pace.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
+	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
 }
 
 // with returns the sum of both.
@@ -43,7 +43,7 @@
 }
 
 func newSiteCounts() *siteCounts {
-	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: pace.New()}
+	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: speed.New()}
 }
 
 // add adds the counts of one daemon.
