--- a/core/connection/names/names.go
+++ b/core/connection/names/names.go
@@ -11,8 +11,8 @@
 type Names struct {
 	// ID identifies one attempt of a caller; servers echo it.
 	ID string
-	// Deadline is how many milliseconds the caller will wait.
-	Deadline string
+	// Timeout is how many milliseconds the sender of the request will wait for the answer.
+	Timeout string
 	// Instance is the server instance that a request is meant for; any other one refuses it.
 	Instance string
 	// Signature marks an answer that comes from the server itself.
@@ -38,7 +38,7 @@
 func Default() Names {
 	return Names{
 		ID:          "Catkinstep-Request-Id",
-		Deadline:    "Catkinstep-Deadline-Millis",
+		Timeout:     "Catkinstep-Deadline-Millis",
 		Instance:    "Catkinstep-Instance",
 		Signature:   "Catkinstep-Signature",
 		NotRun:      "Catkinstep-Not-Run",
--- a/core/request/admit/controller.go
+++ b/core/request/admit/controller.go
@@ -6,8 +6,8 @@
 	// overloadedFraction is the fraction of a server's load reports that must show a long
 	// queue for the server to count as overloaded.
 	overloadedFraction = 0.3
-	// overloadTTL is how long an overload may start a limit: queues drain within the time
-	// of one or two requests.
+	// overloadTTL is how long after an overload a limit may still start: queues drain within
+	// the time of one or two requests.
 	overloadTTL = 2 * time.Second
 	// contentionTTL is how long a server counts as contended after an overload. Requests
 	// to a contended server need permits, which keep its queue short; the short queue
--- a/core/request/admit/limiter.go
+++ b/core/request/admit/limiter.go
@@ -7,7 +7,8 @@
 
 const (
 	// limitTTL is how long limits apply after the leader sent them. It sends new ones a few
-	// times a second. Without new limits, the load may have gone and must not be refused.
+	// times a second. If none arrive, the load may have ended, and requests must not be
+	// refused any more.
 	limitTTL = 2 * time.Second
 	// minRetryAfter and maxRetryAfter bound the delay before refused callers may retry, not
 	// counting jitter.
--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -17,8 +17,8 @@
 	lastLossAt time.Time
 }
 
-// New returns Suspects that refuse a request once as many different servers as the threshold
-// were lost while it ran, and forget it after the retention time without another loss.
+// New returns Suspects that refuse a request once at least threshold different servers were lost
+// while it ran, and that forget a request after the retention time without another loss.
 func New(threshold int, retention time.Duration) *Suspects {
 	return &Suspects{threshold: threshold, retention: retention, requests: map[uint64]suspect{}}
 }
--- a/core/version/reopen/reopen.go
+++ b/core/version/reopen/reopen.go
@@ -17,8 +17,8 @@
 	defaultLostTime    = 3 * time.Second
 	// upperQuantile is the fraction of closures that end within Estimate.P90.
 	upperQuantile = 0.9
-	// overrunFactor applies to a range that has been closed for longer than any before: it
-	// is expected to stay closed for this fraction of the time that it has been closed.
+	// overrunFactor applies to a range that has been closed for longer than any before. It is
+	// the expected remaining time as a fraction of the time that the range has been closed.
 	overrunFactor = 0.5
 )
 
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -203,7 +203,7 @@
 	b.Grow(512)
 	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	for name, values := range req.Header {
-		if name == cl.names.Deadline || name == cl.names.Instance {
+		if name == cl.names.Timeout || name == cl.names.Instance {
 			continue
 		}
 		for _, v := range values {
@@ -211,7 +211,7 @@
 		}
 	}
 	if !req.ControlCall {
-		b.WriteString(cl.names.Deadline + ": " + strconv.FormatInt(max(1, req.TimeLeft.Milliseconds()), 10) + "\r\n")
+		b.WriteString(cl.names.Timeout + ": " + strconv.FormatInt(max(1, req.TimeLeft.Milliseconds()), 10) + "\r\n")
 	}
 	b.WriteString(cl.names.Instance + ": " + cl.instance + "\r\n")
 	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
--- a/io/connection/link/link_test.go
+++ b/io/connection/link/link_test.go
@@ -107,11 +107,11 @@
 		var seen *http.Request
 		s := startServer(t, func(c net.Conn, r *http.Request) bool { seen = r; return respondWith(completeResponse)(c, r) })
 		_, err := s.newClient().Do(context.Background(), Request{Method: http.MethodGet, Target: "/a%2Fb?c", Host: "h.example", ID: "1", TimeLeft: 1500 * time.Millisecond,
-			Header: http.Header{names.Default().ID: {"1"}, names.Default().Deadline: {"99999"}}})
+			Header: http.Header{names.Default().ID: {"1"}, names.Default().Timeout: {"99999"}}})
 		So(err, ShouldBeNil)
 		So(seen.RequestURI, ShouldEqual, "/a%2Fb?c")
 		So(seen.Host, ShouldEqual, "h.example")
-		So(seen.Header.Values(names.Default().Deadline), ShouldResemble, []string{"1500"})
+		So(seen.Header.Values(names.Default().Timeout), ShouldResemble, []string{"1500"})
 		So(seen.Header.Get(names.Default().Instance), ShouldEqual, "server-1")
 	})
 	Convey("A body without a length ends when the connection is closed", t, func() {
--- a/io/standin/server/serve.go
+++ b/io/standin/server/serve.go
@@ -332,7 +332,7 @@
 func parse(r *http.Request, now time.Time) request {
 	n := names.Default()
 	q := request{id: r.Header.Get(n.ID), until: now.Add(usualPatience), idempotent: r.Method == http.MethodGet || r.Method == http.MethodHead, age: ageOf(r)}
-	if ms, err := strconv.ParseInt(r.Header.Get(n.Deadline), 10, 64); err == nil {
+	if ms, err := strconv.ParseInt(r.Header.Get(n.Timeout), 10, 64); err == nil {
 		q.until = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	if key, err := strconv.Atoi(r.Header.Get(n.Key)); err == nil {
