--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -26,21 +26,21 @@
 	intentSeq uint64
 	// fenceConfirmed is set once the holder has confirmed a grant with the present fence.
 	fenceConfirmed bool
-	// callPending is set while a call to the holder is in progress.
-	callPending bool
+	// callInFlight is set while a call to the holder has no result yet.
+	callInFlight bool
 	// expiresAt is when the holder's last grant has certainly expired; zero means that
 	// no grant can be in force.
 	expiresAt time.Time
-	// nextExpiresAt is when a grant to Next has certainly expired that the previous
-	// leader may have sent before it was replaced. Zero for intents of this leader.
+	// nextExpiresAt is when the grant that the previous leader may have sent to Next has
+	// certainly expired. It is zero for intents of this leader.
 	nextExpiresAt time.Time
 	// nextCallAt is the earliest time of the next call to the holder.
 	nextCallAt time.Time
 	handover   string
 	origin     grant.Origin
-	// releasedBy is the server that released the range to Holder. The stored table names it as
-	// holder, so that a new leader, which does not have the handover, asks it again. It
-	// is empty once Holder has confirmed its grant.
+	// releasedBy is the server that released the range before Holder got it. The stored table
+	// still names it as the holder, so that a new leader, which does not have the handover,
+	// asks it again. It is empty once Holder has confirmed its grant.
 	releasedBy grant.Holder
 	// closedSince is when a planned move closed the range to callers; zero while the range is
 	// open, or if its holder was lost.
@@ -53,12 +53,12 @@
 	ranges     []*rangeState
 	balancedAt time.Time
 	// firstKeysRoundAt is the time of the last round that gave keys to servers without any.
-	firstKeysRoundAt time.Time
-	busySlots        []float64          // by bucket; see LoadMsg
-	slowdowns        map[string]float64 // by server ID; see LoadMsg
-	requestSeconds   float64            // time of one request at a server of usual speed
-	targetLatency    time.Duration
-	coldRate         float64
+	firstKeysRoundAt   time.Time
+	busySlots          []float64          // by bucket; see LoadMsg
+	slowdowns          map[string]float64 // by server ID; see LoadMsg
+	serviceTimeSeconds float64            // time that a request occupies a slot of a server of typical speed
+	latencyTarget      time.Duration
+	coldRate           float64
 	// moveDuration is the average time for which a move closes a range.
 	moveDuration time.Duration
 }
@@ -69,25 +69,25 @@
 	publishedAt time.Time
 }
 
-// Keeper decides, during one term of a leader, which server holds which range.
+// Keeper decides which server holds which range, during one term of a leader, which is one epoch.
 type Keeper struct {
 	grantTTL, leaderLease time.Duration
 
-	epoch            uint64
-	leader           grant.Leader
-	seq              uint64
-	fencesIssued     uint64
-	revision         uint64
-	startedAt        time.Time
-	epochConfirmedAt time.Time // when the epoch was last known to be current
-	tickedAt         time.Time
-	oldLeaderStopped bool
+	epoch                 uint64
+	leader                grant.Leader
+	seq                   uint64
+	fencesIssued          uint64
+	revision              uint64
+	startedAt             time.Time
+	epochConfirmedAt      time.Time // when the epoch was last known to be current
+	tickedAt              time.Time
+	previousLeaderStopped bool
 
 	services            []*serviceState
 	fleet               *fleet.Fleet
 	keyedServices       []string
-	outDataCentres      map[string]bool
-	balancingDisabled   bool      // no moves to balance load
+	excludedDataCentres map[string]bool
+	rebalancingDisabled bool      // no moves to balance load
 	daemonCount         int       // daemons that each change is published to
 	fleetUnchangedSince time.Time // when the number of servers last changed
 	serverCount         int
@@ -162,11 +162,11 @@
 	case StoredTableMsg:
 		k.handleStoredTable(now, m)
 	case StoreFailedMsg:
-		k.saver.callPending, k.saver.readPending, k.saver.notBefore = false, true, now.Add(storeRetryDelay)
+		k.saver.callInFlight, k.saver.readPending, k.saver.notBefore = false, true, now.Add(storeRetryDelay)
 	case EpochSeenMsg:
 		k.updateEpoch(m)
-	case OldLeaderStoppedMsg:
-		k.boundOldGrants(m.At)
+	case PreviousLeaderStoppedMsg:
+		k.boundPreviousGrants(m.At)
 	}
 	k.publish(now)
 	return k.cmds
@@ -176,9 +176,9 @@
 func (k *Keeper) Table() grant.Table { return k.table(false) }
 
 // table returns the stored or the published form of the table. The stored form contains
-// the intent of a move from before its first call until the next holder has confirmed
-// its grant, since until then only this leader has the handover. The published form
-// contains the intent only while the range is closed to callers.
+// the intent of a move before the first call for it is made, and until the next holder has
+// confirmed its grant, since until then only this leader has the handover. The published
+// form contains the intent only while the range is closed to callers.
 func (k *Keeper) table(stored bool) grant.Table {
 	t := grant.Table{Epoch: k.epoch, Seq: k.seq, Leader: k.leader}
 	for _, s := range k.services {
@@ -227,7 +227,7 @@
 	if len(m.Fleet.All()) != k.serverCount || k.fleetUnchangedSince.IsZero() {
 		k.fleetUnchangedSince, k.serverCount = now, len(m.Fleet.All())
 	}
-	k.fleet, k.keyedServices, k.outDataCentres, k.balancingDisabled, k.daemonCount = m.Fleet, m.KeyedServices, m.OutDataCentres, m.BalancingDisabled, m.DaemonCount
+	k.fleet, k.keyedServices, k.excludedDataCentres, k.rebalancingDisabled, k.daemonCount = m.Fleet, m.KeyedServices, m.ExcludedDataCentres, m.RebalancingDisabled, m.DaemonCount
 	for h := range k.endedInstances {
 		if s, ok := k.fleet.Find(h.Server); (!ok || s.StartMillis != h.StartMillis) && !k.isReferenced(h) {
 			delete(k.endedInstances, h)
@@ -259,11 +259,11 @@
 
 func (k *Keeper) updateLoad(m LoadMsg) {
 	for _, r := range m.Reports {
-		k.limiter.control.Report(r.Server, r.Answers, r.LongQueues)
+		k.limiter.control.Report(r.Server, r.LoadReports, r.LongQueueReports)
 	}
 	for _, s := range k.services {
 		if s.service == m.Service {
-			s.busySlots, s.slowdowns, s.requestSeconds, s.targetLatency, s.coldRate = m.BusySlots, m.Slowdowns, m.RequestSeconds, m.TargetLatency, m.ColdRate
+			s.busySlots, s.slowdowns, s.serviceTimeSeconds, s.latencyTarget, s.coldRate = m.BusySlots, m.Slowdowns, m.ServiceTimeSeconds, m.LatencyTarget, m.ColdRate
 		}
 	}
 }
@@ -273,17 +273,17 @@
 		k.epochConfirmedAt = m.At
 	}
 	if m.Epoch > k.epoch {
-		k.resign("another daemon leads with a newer epoch")
+		k.stepDown("another daemon leads with a newer epoch")
 	}
 }
 
-// boundOldGrants shortens the expiry times of the old leader's grants, now that it is known to
-// have stopped at a time.
-func (k *Keeper) boundOldGrants(at time.Time) {
-	if k.oldLeaderStopped {
+// boundPreviousGrants shortens the expiry times of the previous leader's grants, now that it is
+// known to have stopped by the given time.
+func (k *Keeper) boundPreviousGrants(at time.Time) {
+	if k.previousLeaderStopped {
 		return
 	}
-	k.oldLeaderStopped = true
+	k.previousLeaderStopped = true
 	bound := k.grantExpiry(at.Add(maxGrantDelay))
 	for _, s := range k.services {
 		for _, rs := range s.ranges {
@@ -302,8 +302,8 @@
 	k.cmds = append(k.cmds, PublishCmd{Table: k.table(false)})
 }
 
-func (k *Keeper) resign(reason string) {
-	k.cmds = append(k.cmds, ResignCmd{Reason: reason})
+func (k *Keeper) stepDown(reason string) {
+	k.cmds = append(k.cmds, StepDownCmd{Reason: reason})
 }
 
 func (k *Keeper) log(c LogCmd) { k.cmds = append(k.cmds, c) }
--- a/core/request/permit/permit_test.go
+++ b/core/request/permit/permit_test.go
@@ -14,7 +14,7 @@
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
 func newRequest(id uint64) Request {
-	return Request{Server: "a", ID: id, Slots: 3, ServiceTime: 600 * time.Millisecond, MaxLatency: 1200 * time.Millisecond, TTL: 4 * time.Second}
+	return Request{Server: "a", ID: id, Slots: 3, ServiceTime: 600 * time.Millisecond, LatencyBudget: 1200 * time.Millisecond, TTL: 4 * time.Second}
 }
 
 func TestAcquire(t *testing.T) {
@@ -36,7 +36,7 @@
 		})
 		Convey("A request that may take longer gets a permit, and so does one to another server", func() {
 			r := newRequest(30)
-			r.MaxLatency = 3 * time.Second
+			r.LatencyBudget = 3 * time.Second
 			So(i.Acquire(t0, r).Granted, ShouldBeTrue)
 			r = newRequest(31)
 			r.Server = "b"
@@ -48,7 +48,7 @@
 	})
 	Convey("A request is never refused while a slot is free", t, func() {
 		r := newRequest(1)
-		r.MaxLatency = 0
+		r.LatencyBudget = 0
 		So(NewIssuer(1).Acquire(t0, r).Granted, ShouldBeTrue)
 	})
 	Convey("Few daemons can see a queue without permits, many cannot", t, func() {
@@ -79,10 +79,10 @@
 }
 
 // simulate sends requests with Poisson arrivals to one server of three slots, and returns the
-// fraction that is answered within the target. Callers leave after twice the target, which
+// fraction that is answered within the latency target. Callers leave after twice that time, which
 // cancels their requests at the server. Permits take a round trip between data centres.
 func simulate(offeredLoad float64, issuer *Issuer) float64 {
-	const serviceTime, target, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
+	const serviceTime, latencyTarget, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
 	random := rand.New(rand.NewPCG(7, 7))
 	slotFreeAt := make([]time.Duration, 3)
 	type release struct {
@@ -104,14 +104,14 @@
 		}
 		slot := slices.Index(slotFreeAt, slices.Min(slotFreeAt))
 		startsAt := max(at+networkDelay, slotFreeAt[slot])
-		leavesAt := at + 2*target
+		leavesAt := at + 2*latencyTarget
 		if startsAt >= leavesAt {
 			releases = append(releases, release{leavesAt, id})
 			continue
 		}
 		doneAt := min(leavesAt, startsAt+time.Duration(random.ExpFloat64()*float64(serviceTime)))
 		slotFreeAt[slot] = doneAt
-		if doneAt-at <= target {
+		if doneAt-at <= latencyTarget {
 			onTime++
 		}
 		if issuer != nil {
--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -27,13 +27,13 @@
 // Service is a set of backend servers that answer the same requests.
 type Service struct {
 	Name string `yaml:"name"`
-	// Keyed is set when each key of the service has exactly one owner.
+	// Keyed is set when each key of the service is held by one server at a time.
 	Keyed bool `yaml:"keyed"`
 	// KeySegment is the path segment that holds the key, counted from 1 after the
 	// service's name; zero means that the Catkinstep-Key header holds it.
 	KeySegment int `yaml:"keySegment,omitempty"`
-	// KeyByID makes the request ID the key, for services without keys of their own
-	// whose bookings must run once even if they are retried.
+	// KeyByID makes the request ID the key. It is for services without keys of their own
+	// whose requests must run only once even if callers retry them.
 	KeyByID bool `yaml:"keyByID,omitempty"`
 	// Slots is how many requests one server runs concurrently.
 	Slots int `yaml:"slots"`
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -70,7 +70,7 @@
 
 // Grant builds the call that grants a range of keys to a server.
 func (Protocol) Grant(c grant.Call) link.Request {
-	return newPost(GrantPath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence, HoldMillis: c.Hold.Milliseconds(), Handover: c.Handover, Origin: c.Origin})
+	return newPost(GrantPath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence, HoldMillis: c.TTL.Milliseconds(), Handover: c.Handover, Origin: c.Origin})
 }
 
 // Release builds the call that asks a server to release a range of keys.
@@ -90,7 +90,7 @@
 	case a.NotRun:
 		return grant.NotSent, ""
 	}
-	return grant.Unsure, ""
+	return grant.OutcomeUnknown, ""
 }
 
 func newPost(path, address string, k KeyRangeRequest) link.Request {
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -7,7 +7,7 @@
 
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/fleet"
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/core/version/site"
 )
 
@@ -16,25 +16,25 @@
 
 // siteItems converts the stored site to the items of a kind. The version of the stored site
 // becomes the revision of all items.
-func siteItems(kind news.Kind, s site.Site, version uint64) ([]news.Item, error) {
-	var items []news.Item
+func siteItems(kind object.Kind, s site.Site, version uint64) ([]object.Item, error) {
+	var items []object.Item
 	add := func(name string, v any) error {
 		value, err := json.Marshal(v)
 		if err == nil {
-			items = append(items, news.Item{Name: name, Revision: version, Value: value})
+			items = append(items, object.Item{Name: name, Revision: version, Value: value})
 		}
 		return err
 	}
 	switch kind {
-	case news.Config:
+	case object.Config:
 		return items, add(configName, configOf(s, version))
-	case news.Servers:
+	case object.Servers:
 		for _, v := range serversOf(s) {
 			if err := add(v.ID, v); err != nil {
 				return nil, err
 			}
 		}
-	case news.Outs:
+	case object.Exclusions:
 		for _, d := range s.DataCentres {
 			if s.DataCentreExcluded(d.Name) {
 				if err := add(d.Name, struct{}{}); err != nil {
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"catkinstep/core/version/news"
+	"catkinstep/core/version/object"
 	"catkinstep/core/version/site"
 	"catkinstep/io/connection/plat"
 )
@@ -16,9 +16,9 @@
 
 // objectPrefixes maps each kind to the prefix of its object names. Three kinds are derived
 // from the site object.
-var objectPrefixes = map[news.Kind]string{
-	news.Config: SiteObject, news.Servers: SiteObject, news.Outs: SiteObject,
-	news.Daemons: "daemons/", news.Tables: "tables/",
+var objectPrefixes = map[object.Kind]string{
+	object.Config: SiteObject, object.Servers: SiteObject, object.Exclusions: SiteObject,
+	object.Daemons: "daemons/", object.Tables: "tables/",
 }
 
 // Store reads and writes the product's own objects on the platform. It implements
@@ -30,10 +30,10 @@
 
 // List returns all objects of a kind. It ignores the last argument, which permits stale
 // data, and always returns the latest versions.
-func (s *Store) List(ctx context.Context, kind news.Kind, _ bool) (news.Delta, error) {
+func (s *Store) List(ctx context.Context, kind object.Kind, _ bool) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, objectPrefixes[kind], 0, 0)
 	if err != nil {
-		return news.Delta{}, newUnreachableError("list "+string(kind), err)
+		return object.Delta{}, newUnreachableError("list "+string(kind), err)
 	}
 	d, err := newDelta(kind, c)
 	d.Whole = true
@@ -41,10 +41,10 @@
 }
 
 // Watch returns the changes after a revision, and waits a limited time for the first one.
-func (s *Store) Watch(ctx context.Context, kind news.Kind, since uint64, wait time.Duration) (news.Delta, error) {
+func (s *Store) Watch(ctx context.Context, kind object.Kind, since uint64, wait time.Duration) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, objectPrefixes[kind], since, wait)
 	if err != nil {
-		return news.Delta{}, newUnreachableError("watch "+string(kind), err)
+		return object.Delta{}, newUnreachableError("watch "+string(kind), err)
 	}
 	d, err := newDelta(kind, c)
 	d.Through = max(d.Through, since)
@@ -52,50 +52,50 @@
 }
 
 // Read returns one object.
-func (s *Store) Read(ctx context.Context, kind news.Kind, name string) (news.Item, error) {
+func (s *Store) Read(ctx context.Context, kind object.Kind, name string) (object.Item, error) {
 	o, err := s.client.Read(ctx, objectPrefixes[kind]+name)
 	if err != nil {
-		return news.Item{}, newUnreachableError("read "+name, err)
+		return object.Item{}, newUnreachableError("read "+name, err)
 	}
 	if o == nil {
-		return news.Item{}, &news.Error{Op: "read " + name, Kind: news.Missing, Err: errNoObject}
+		return object.Item{}, &object.Error{Op: "read " + name, Kind: object.Missing, Err: errNoObject}
 	}
-	return news.Item{Name: name, Revision: o.Version, Value: o.Value}, nil
+	return object.Item{Name: name, Revision: o.Version, Value: o.Value}, nil
 }
 
 // Save replaces an object if it is at the given revision; 0 means that it must not exist yet.
 // On a conflict it returns the current object together with the error.
-func (s *Store) Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error) {
+func (s *Store) Save(ctx context.Context, kind object.Kind, name string, value []byte, revision uint64) (object.Item, error) {
 	op := "save " + name
 	o, err := s.client.Write(ctx, objectPrefixes[kind]+name, revision, value)
 	switch {
 	case err == nil:
-		return news.Item{Name: name, Revision: o.Version, Value: value}, nil
+		return object.Item{Name: name, Revision: o.Version, Value: value}, nil
 	case plat.IsKind(err, plat.OutcomeUnknown):
-		return news.Item{}, &news.Error{Op: op, Kind: news.Unsure, Err: err}
+		return object.Item{}, &object.Error{Op: op, Kind: object.OutcomeUnknown, Err: err}
 	case !plat.IsKind(err, plat.Conflict):
-		return news.Item{}, newUnreachableError(op, err)
+		return object.Item{}, newUnreachableError(op, err)
 	}
 	current, readErr := s.Read(ctx, kind, name)
 	if readErr != nil {
-		return news.Item{}, readErr
+		return object.Item{}, readErr
 	}
-	return current, &news.Error{Op: op, Kind: news.Conflict, Err: err}
+	return current, &object.Error{Op: op, Kind: object.Conflict, Err: err}
 }
 
 var errNoObject = errors.New("there is no such object")
 
 func newUnreachableError(op string, err error) error {
-	return &news.Error{Op: op, Kind: news.Unreachable, Err: err}
+	return &object.Error{Op: op, Kind: object.Unreachable, Err: err}
 }
 
 // newDelta converts changed objects to a delta of a kind. If the site changed, the delta
 // replaces all items of the kind.
-func newDelta(kind news.Kind, c plat.Changes) (news.Delta, error) {
-	d := news.Delta{Kind: kind, Through: c.Revision}
+func newDelta(kind object.Kind, c plat.Changes) (object.Delta, error) {
+	d := object.Delta{Kind: kind, Through: c.Revision}
 	for _, o := range c.Objects {
 		if objectPrefixes[kind] != SiteObject {
-			d.Items = append(d.Items, news.Item{Name: strings.TrimPrefix(o.Name, objectPrefixes[kind]), Revision: o.Version, Value: o.Value})
+			d.Items = append(d.Items, object.Item{Name: strings.TrimPrefix(o.Name, objectPrefixes[kind]), Revision: o.Version, Value: o.Value})
 			continue
 		}
 		if o.Name != SiteObject {
--- a/io/process/router/sitecounts.go
+++ b/io/process/router/sitecounts.go
@@ -5,8 +5,8 @@
 
 	"catkinstep/core/connection/wire"
 	"catkinstep/core/process/keeper"
-	"catkinstep/core/process/pace"
 	"catkinstep/core/process/rate"
+	"catkinstep/core/process/speed"
 	"catkinstep/core/version/config"
 	"catkinstep/core/version/fleet"
 )
@@ -14,14 +14,14 @@
 // siteCounts are the leader's sums of all daemons' request counts and server statistics.
 type siteCounts struct {
 	meter     *rate.Meter
-	slowdowns *pace.Estimator
+	slowdowns *speed.Estimator
 	// queueReports are the reports on the servers' queues since the last window.
 	queueReports []keeper.QueueReport
 }
 
 // serverStats are the measurements of a server since the last report.
 type serverStats struct {
-	pace.Sample
+	speed.Sample
 	// loadReports and fullReports are the numbers of answers that reported the load, and
 	// that reported a long queue.
 	loadReports, fullReports int
@@ -29,7 +29,7 @@
 
 // serverStatsFrom converts another daemon's message.
 func serverStatsFrom(p *wire.Pace) serverStats {
-	return serverStats{Sample: pace.Sample{Factor: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
+	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
 }
 
 // with returns the sum of both.
@@ -39,11 +39,11 @@
 
 // toWire returns the message for other daemons.
 func (s serverStats) toWire(server string) *wire.Pace {
-	return &wire.Pace{Server: server, Factor: float32(s.Factor), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.fullReports)}
+	return &wire.Pace{Server: server, Factor: float32(s.Slowdown), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.fullReports)}
 }
 
 func newSiteCounts() *siteCounts {
-	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: pace.New()}
+	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: speed.New()}
 }
 
 // add adds the counts of one daemon.
@@ -55,7 +55,7 @@
 		stats := serverStatsFrom(p)
 		c.slowdowns.Add(p.Server, stats.Sample)
 		if stats.loadReports > 0 {
-			c.queueReports = append(c.queueReports, keeper.QueueReport{Server: p.Server, Answers: stats.loadReports, LongQueues: stats.fullReports})
+			c.queueReports = append(c.queueReports, keeper.QueueReport{Server: p.Server, LoadReports: stats.loadReports, LongQueueReports: stats.fullReports})
 		}
 	}
 }
@@ -65,11 +65,11 @@
 // closeWindow closes the current window and returns the load of each service.
 func (c *siteCounts) closeWindow(now time.Time, cfg config.Config, servers *fleet.Fleet) []keeper.LoadMsg {
 	c.slowdowns.Retain(func(server string) bool { _, ok := servers.Find(server); return ok })
-	factors := c.slowdowns.Factors()
+	factors := c.slowdowns.Slowdowns()
 	var out []keeper.LoadMsg
 	for _, l := range c.meter.CloseWindow(now) {
 		service, _ := cfg.Service(l.Service)
-		out = append(out, keeper.LoadMsg{Service: l.Service, BusySlots: l.BusySlots, RequestSeconds: l.ServiceTime.Seconds(), TargetLatency: l.TargetLatency,
+		out = append(out, keeper.LoadMsg{Service: l.Service, BusySlots: l.BusySlots, ServiceTimeSeconds: l.ServiceTime.Seconds(), LatencyTarget: l.LatencyTarget,
 			Slowdowns: factors, ColdRate: service.ColdRate, Reports: c.queueReports})
 		c.queueReports = nil // sent once: the reports cover the holders of all services
 	}
