--- a/core/version/check/check.go
+++ b/core/version/check/check.go
@@ -116,7 +116,7 @@
 // Address checks that a field is an IP address with a port.
 func (c *Checker) Address(field, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.Add(field, "%q is no IP number with a port", value)
+		c.Add(field, "%q is not an IP address with a port", value)
 	}
 }
 
--- a/core/version/site/site_test.go
+++ b/core/version/site/site_test.go
@@ -60,7 +60,7 @@
 			strings.Replace(validSite, "retryShare: 0.05", "inForce: true", 1):                          `site.yaml:15: presets[1].inForce: two presets have inForce: true, "ordinary" and "peak"`,
 			strings.Replace(validSite, "name: peak", "name: ordinary", 1):                               `site.yaml:14: presets[1].name: "ordinary" is used twice`,
 			strings.Replace(validSite, "service: workshop}", "service: x}", 1):                          `site.yaml:10: dataCentres[0].servers[0].service: no service "x"`,
-			strings.Replace(validSite, "127.0.0.1:9001", "localhost:9001", 1):                           `site.yaml:10: dataCentres[0].servers[0].address: "localhost:9001" is no IP number with a port`,
+			strings.Replace(validSite, "127.0.0.1:9001", "localhost:9001", 1):                           `site.yaml:10: dataCentres[0].servers[0].address: "localhost:9001" is not an IP address with a port`,
 			strings.Replace(validSite, "retryShare: 0.05", "out: [nowhere]", 1):                         `site.yaml:15: presets[1].out[0]: no data centre "nowhere"`,
 			strings.Replace(validSite, "slots: 3", "attempts: -1\n    slots: 3", 1):                     `site.yaml:5: services[0].attempts: must be at least 1`,
 			strings.Replace(validSite, "slots: 3", "keyByID: true\n    keySegment: 2\n    slots: 3", 1): `site.yaml:5: services[0].keyByID: requires keyed: true and no keySegment`,
--- a/io/process/prefs/prefs_test.go
+++ b/io/process/prefs/prefs_test.go
@@ -19,6 +19,6 @@
 	})
 	Convey("A host name instead of an IP address is an error with its line", t, func() {
 		_, err := Parse("host.yaml", []byte(valid+"peers: [otherhost:7100]\n"))
-		So(err.Error(), ShouldEqual, `host.yaml:6: peers[0]: "otherhost:7100" is no IP number with a port`)
+		So(err.Error(), ShouldEqual, `host.yaml:6: peers[0]: "otherhost:7100" is not an IP address with a port`)
 	})
 }
