--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -21,9 +21,9 @@
 		if ctx.Err() != nil {
 			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerLeft)
 		}
-		tableChanged := *r.tableUpdated.Load()
+		tableUpdated := *r.tableUpdated.Load()
 		server, choice := r.chooseServer(req)
-		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableChanged) {
+		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableUpdated) {
 			continue
 		}
 		if !choice.Refused() || choice.RefusalUncertain() {
@@ -35,26 +35,26 @@
 		if choice.Refused() {
 			return r.giveUp(req, choice, string(choice.Reason), choice.RetryAfter)
 		}
-		a, err := r.send(ctx, req, server)
+		resp, err := r.send(ctx, req, server)
 		r.releasePermit(req)
 		if err != nil && link.NotRun(err) {
 			req.unsent++
 		} else {
 			req.arrived++
 		}
-		reply, sendAgain := r.evaluateAttempt(ctx, req, server, choice, a, err)
+		reply, sendAgain := r.evaluateAttempt(ctx, req, server, choice, resp, err)
 		if !sendAgain {
 			return reply
 		}
-		req.excludeFailed(server, a)
+		req.excludeFailed(server, resp)
 	}
 }
 
 // excludeFailed excludes a server from further attempts after a failed one. It keeps a
 // server that declined with free slots, which may well accept the next attempt, and the
 // holder of the request's key, which has no alternative.
-func (req *request) excludeFailed(server fleet.Server, a *link.Response) {
-	if req.key >= 0 || a != nil && declinedWithFreeSlots(a) {
+func (req *request) excludeFailed(server fleet.Server, resp *link.Response) {
+	if req.key >= 0 || resp != nil && declinedWithFreeSlots(resp) {
 		return
 	}
 	req.requirements.Excluded = append(req.requirements.Excluded, server.ID)
@@ -62,8 +62,8 @@
 
 // declinedWithFreeSlots reports whether a server did not run a request although it reports
 // free slots. It is likely to accept an immediate retry.
-func declinedWithFreeSlots(a *link.Response) bool {
-	return a.NotRun && a.Status != http.StatusMisdirectedRequest && a.Load != nil && a.Load.Running < a.Load.Slots
+func declinedWithFreeSlots(resp *link.Response) bool {
+	return resp.NotRun && resp.Status != http.StatusMisdirectedRequest && resp.Load != nil && resp.Load.Running < resp.Load.Slots
 }
 
 // chooseServer chooses the server for the next attempt.
@@ -105,21 +105,21 @@
 	return server, choice
 }
 
-// send makes one attempt, and records the request as sent if the holder of its key
-// deduplicates it.
+// send makes one attempt. If the holder of the request's key deduplicates it, send also
+// records that it was sent and how the attempt ended.
 func (r *Router) send(ctx context.Context, req *request, server fleet.Server) (*link.Response, error) {
 	if !r.holderDeduplicates(req) {
 		return r.exchange(ctx, req, server)
 	}
 	record, repeated := r.recordSent(req)
-	a, err := r.exchange(ctx, req, server)
-	r.recordSentOutcome(ctx, record, repeated, a, err)
-	return a, err
+	resp, err := r.exchange(ctx, req, server)
+	r.recordSentOutcome(ctx, record, repeated, resp, err)
+	return resp, err
 }
 
-// exchange sends the request to a server and waits for the answer. It stops when the caller
-// leaves only if the request is idempotent: cancelling any other request would leave its
-// outcome unknown without need.
+// exchange sends the request to a server and waits for the response. If the caller leaves, it
+// cancels only an idempotent request: cancelling any other one would leave its outcome unknown
+// without need.
 func (r *Router) exchange(ctx context.Context, req *request, server fleet.Server) (*link.Response, error) {
 	if !req.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
@@ -127,24 +127,24 @@
 	timeLeft := time.Until(req.deadline) - responseTransitTime
 	ctx, cancel := context.WithDeadline(ctx, req.deadline.Add(responseMargin))
 	defer cancel()
-	a, err := r.clientPool.requestClient(server).Do(ctx, link.Request{
+	resp, err := r.clientPool.requestClient(server).Do(ctx, link.Request{
 		Method: req.Method, Target: req.target, Host: req.Host, Header: r.forwardedHeader(req), Body: req.Body, ID: req.id, TimeLeft: timeLeft,
 	})
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.End(now, server, req.requirements, req.attemptStart, attemptOutcome(ctx, a, err), loadReport(a))
-	return a, err
+	r.spread.End(now, server, req.requirements, req.attemptStart, attemptOutcome(ctx, resp, err), loadReport(resp))
+	return resp, err
 }
 
-func loadReport(a *link.Response) *spread.Report {
-	if a == nil || a.Load == nil {
+func loadReport(resp *link.Response) *spread.Report {
+	if resp == nil || resp.Load == nil {
 		return nil
 	}
-	return &spread.Report{Running: a.Load.Running, Waiting: a.Load.Waiting, Slots: a.Load.Slots, Bytes: a.Load.Bytes, Slowdown: a.Load.Slowdown}
+	return &spread.Report{Running: resp.Load.Running, Waiting: resp.Load.Waiting, Slots: resp.Load.Slots, Bytes: resp.Load.Bytes, Slowdown: resp.Load.Slowdown}
 }
 
-func attemptOutcome(ctx context.Context, a *link.Response, err error) spread.Outcome {
+func attemptOutcome(ctx context.Context, resp *link.Response, err error) spread.Outcome {
 	switch {
 	case err != nil && link.KindOf(err) == link.ConnectionRefused:
 		return spread.ConnectionRefused
@@ -156,53 +156,54 @@
 		return spread.ConnectionReset
 	case err != nil:
 		return spread.Failed
-	case a.NotRun:
+	case resp.NotRun:
 		return spread.Shed
-	case a.Status >= http.StatusInternalServerError:
+	case resp.Status >= http.StatusInternalServerError:
 		return spread.Failed
 	}
 	return spread.Answered
 }
 
-// evaluateAttempt handles the end of an attempt. It returns the reply to the caller, or true
-// if the request is to be sent again.
-func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, a *link.Response, err error) (caller.Response, bool) {
-	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
+// evaluateAttempt handles the end of an attempt. It returns either the reply to the caller,
+// or true if the request is to be sent again.
+func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, resp *link.Response, err error) (caller.Response, bool) {
+	notRun := err != nil && link.NotRun(err) || err == nil && resp.NotRun
 	if link.KindOf(err) == link.ConnectionLost {
 		r.recordLoss(req, server.ID)
 	}
 	switch {
-	case err == nil && a.OutcomeLost:
+	case err == nil && resp.OutcomeLost:
 		return r.replyOutcomeLost(req, server.ID), false
-	case err == nil && !a.NotRun && r.isServerAnswer(a):
+	case err == nil && !resp.NotRun && r.isServerResponse(resp):
 		r.clearSuspicion(req)
-		if a.Status < http.StatusInternalServerError || !r.mayRetry(ctx, req, false) {
-			if a.Status >= http.StatusInternalServerError {
-				r.logFailedAttempt(req, server, choice, a, nil, "passed on")
+		if resp.Status < http.StatusInternalServerError || !r.mayRetry(ctx, req, false) {
+			if resp.Status >= http.StatusInternalServerError {
+				r.logFailedAttempt(req, server, choice, resp, nil, "passed on")
 			} else {
-				r.logLateAnswer(req, choice, a)
+				r.logLateResponse(req, choice, resp)
 			}
-			return r.callerReply(req, a), false
+			return r.callerReply(req, resp), false
 		}
-		req.fallbackAnswer, req.maybeRan = a, true
+		req.fallbackResponse, req.maybeRan = resp, true
 	case !notRun:
 		req.maybeRan = true
 	}
-	if notRun && req.key >= 0 && err == nil && !declinedWithFreeSlots(a) {
-		return r.giveUp(req, choice, reasonNotHeldOrFull, r.retryAfterNotRun(req, server, a)), false
+	if notRun && req.key >= 0 && err == nil && !declinedWithFreeSlots(resp) {
+		return r.giveUp(req, choice, reasonNotHeldOrFull, r.retryAfterNotRun(req, server, resp)), false
 	}
 	if r.mayRetry(ctx, req, notRun) && (!r.retryState(req, notRun).UsesBudget() || r.withdrawRetry(req)) {
-		r.logFailedAttempt(req, server, choice, a, err, "sent again")
+		r.logFailedAttempt(req, server, choice, resp, err, "sent again")
 		return caller.Response{}, true
 	}
-	r.logFailedAttempt(req, server, choice, a, err, "given up")
+	r.logFailedAttempt(req, server, choice, resp, err, "given up")
 	return r.giveUp(req, choice, reasonAttemptFailed, choice.RetryAfter), false
 }
 
-// isServerAnswer reports whether an answer comes from the server itself and not from something
-// else in its place: a status below 300 only counts with the signature header.
-func (r *Router) isServerAnswer(a *link.Response) bool {
-	return a.Status >= http.StatusMultipleChoices || a.Header.Get(r.protocol.Names().Signature) != ""
+// isServerResponse reports whether a response comes from the server itself and not from
+// something else in its place. A response with a status below 300 does only if it has the
+// signature header.
+func (r *Router) isServerResponse(resp *link.Response) bool {
+	return resp.Status >= http.StatusMultipleChoices || resp.Header.Get(r.protocol.Names().Signature) != ""
 }
 
 // mayRetry reports whether another attempt is allowed and can still succeed in time.
@@ -216,18 +217,18 @@
 		CrashSuspect: r.checkCrashSuspect(req), MaxAttempts: req.route.MaxAttempts, TimeLeft: time.Until(req.deadline), MinLatency: r.minRetryLatency(req)}
 }
 
-func (r *Router) logFailedAttempt(req *request, server fleet.Server, choice spread.Choice, a *link.Response, err error, decision string) {
+func (r *Router) logFailedAttempt(req *request, server fleet.Server, choice spread.Choice, resp *link.Response, err error, decision string) {
 	status := 0
-	if a != nil {
-		status = a.Status
+	if resp != nil {
+		status = resp.Status
 	}
-	r.meters.increment("attempts." + strings.ReplaceAll(decision, " ", ""))
+	r.metrics.increment("attempts." + strings.ReplaceAll(decision, " ", ""))
 	r.log.Info("request: attempt failed", "id", req.id, "route", req.route.Name, "key", req.key, "attempt", req.attempts(), "server", server.ID,
 		"expected", choice.ExpectedTime.String(), "left", time.Until(req.deadline).String(), "status", status, "err", err, "then", decision)
 }
 
 // minRetryLatency returns the shortest time in which another attempt can be expected to
-// end: most answers take at least half of the typical time.
+// end: most responses take at least half of the typical time.
 func (r *Router) minRetryLatency(req *request) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -8,8 +8,8 @@
 	"catkinstep/io/connection/caller"
 )
 
-// awaitBoot blocks a request while this daemon reads the lists that it needs to serve any, for
-// a limited time.
+// awaitBoot blocks a request, for a limited time, until this daemon has read the lists without
+// which it cannot serve any request.
 func (r *Router) awaitBoot(ctx context.Context, callerReq caller.Request) {
 	select {
 	case <-r.bootDone:
@@ -26,8 +26,8 @@
 	}
 }
 
-// recordLoaded records that the first list of a kind was read. Once the boot phase is done, it
-// releases the waiting requests.
+// recordLoaded records that the first list of a kind was read; an empty kind records nothing.
+// It releases the waiting requests once the boot phase is done, which may be by timeout.
 func (c *control) recordLoaded(now time.Time, kind news.Kind) {
 	select {
 	case <-c.r.bootDone:
--- a/io/process/router/clients.go
+++ b/io/process/router/clients.go
@@ -25,7 +25,7 @@
 const (
 	forRequests purpose = iota
 	forGrants
-	forReleases // apart from grants: a release waits for running requests, and would delay renewals
+	forReleases // separate from grants: a release waits for running requests and would delay renewals
 )
 
 // serverClient is a client of a server. grantMu serialises the grants to a server, so that
@@ -35,14 +35,14 @@
 	grantMu sync.Mutex
 }
 
-// clientPool holds the clients of all server instances, by purpose.
+// clientPool holds a client for each server instance and purpose.
 type clientPool struct {
 	names   names.Names
 	mu      sync.Mutex
 	clients map[clientKey]*serverClient
 }
 
-// get returns the client for a key and creates it if needed.
+// get returns the client for a key. It creates the client at the first call.
 func (p *clientPool) get(key clientKey) *serverClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +66,8 @@
 	return p.get(clientKey{address: s.Address, id: s.ID, startMillis: s.StartMillis})
 }
 
-// closeUnlisted closes the clients of server instances that are no longer listed.
-func (p *clientPool) closeUnlisted(f *fleet.Fleet) {
+// closeRemoved closes the clients of server instances that are no longer in the fleet.
+func (p *clientPool) closeRemoved(f *fleet.Fleet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, client := range p.clients {
@@ -78,6 +78,7 @@
 	}
 }
 
+// close closes all clients, for the end of the daemon.
 func (p *clientPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -28,8 +28,8 @@
 	close(*r.tableUpdated.Swap(new(make(chan struct{}))))
 }
 
-// closedRangeChoice refuses a request whose range is closed. The refusal asks the caller to
-// retry when the range has probably opened: an earlier retry would be refused again, a later
+// closedRangeChoice returns the refusal of a request whose range is closed. It asks the caller
+// to retry when the range has probably opened: an earlier retry would be refused again, a later
 // one would waste time. r.mu must be held.
 func (r *Router) closedRangeChoice(now time.Time, req *request, keyRange grant.Range, holderAlive bool) spread.Choice {
 	estimate := r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, holderAlive)
@@ -37,22 +37,22 @@
 	return spread.Choice{Reason: reasonKeyMoving, RetryAfter: estimate.Median}
 }
 
-// retryAfterNotRun returns when to retry a request that the holder of its key did not run:
-// when the range has another holder, or when the queue is shorter.
-func (r *Router) retryAfterNotRun(req *request, server fleet.Server, a *link.Response) time.Duration {
+// retryAfterNotRun returns after which time to retry a request that the holder of its key did
+// not run: the time until the range probably has another holder, or until the queue is shorter.
+func (r *Router) retryAfterNotRun(req *request, server fleet.Server, resp *link.Response) time.Duration {
 	keyRange, _ := r.current.Load().table.RangeOf(req.service.Name, req.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if a.Status == http.StatusMisdirectedRequest {
+	if resp.Status == http.StatusMisdirectedRequest {
 		return r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, true).Median
 	}
 	return r.spread.Evaluate(time.Now(), req.requirements, server).RetryAfter
 }
 
 // awaitRangeOpen waits for a new table, and reports whether one came. A request only waits if
-// its range certainly opens early enough for an answer within the target latency. Any other
-// request is refused at once, so that its caller can proceed without the answer.
-func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableChanged <-chan struct{}) bool {
+// its range certainly opens early enough for a response within the latency target. Any other
+// request is refused at once, so that its caller can proceed without the response.
+func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableUpdated <-chan struct{}) bool {
 	r.mu.Lock()
 	latestStart := req.ReadAt.Add(req.route.LatencyTarget - r.spread.TypicalTime(req.requirements))
 	r.mu.Unlock()
@@ -62,7 +62,7 @@
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	select {
-	case <-tableChanged:
+	case <-tableUpdated:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -22,12 +22,12 @@
 	return grant.Table{Epoch: 1, Seq: seq, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{g}}}}
 }
 
-// lookupRequest returns an idempotent request for a key, with a target latency.
-func lookupRequest(targetLatency time.Duration) *request {
+// lookupRequest returns an idempotent request for a key, with a latency target.
+func lookupRequest(latencyTarget time.Duration) *request {
 	now := time.Now()
 	return &request{Request: caller.Request{ReadAt: now}, service: config.Service{Name: "s", Keyed: true}, key: 7,
-		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: targetLatency}, deadline: now.Add(2 * targetLatency),
-		requirements: spread.Requirements{Route: "look", Aim: targetLatency, ReceivedAt: now, Deadline: now.Add(2 * targetLatency), LocalDataCentre: "x"}}
+		route: config.Route{Idempotent: true, MaxAttempts: 2, LatencyTarget: latencyTarget}, deadline: now.Add(2 * latencyTarget),
+		requirements: spread.Requirements{Route: "look", Aim: latencyTarget, ReceivedAt: now, Deadline: now.Add(2 * latencyTarget), LocalDataCentre: "x"}}
 }
 
 // routerAfterMoves returns a router that has seen several moves of a range, each of which
@@ -66,10 +66,10 @@
 // Guards against the refusal of a request whose range opens in time, and against waiting for one
 // that does not.
 func TestAwaitRangeOpen(t *testing.T) {
-	start := func(targetLatency time.Duration) (*Router, *request, spread.Choice) {
+	start := func(latencyTarget time.Duration) (*Router, *request, spread.Choice) {
 		r := routerAfterMoves(100 * time.Millisecond)
 		r.control.applyTable(atSecond(100), tableWithRange(90, true))
-		req := lookupRequest(targetLatency)
+		req := lookupRequest(latencyTarget)
 		_, choice := r.chooseHolder(r.current.Load(), req, time.Now())
 		return r, req, choice
 	}
@@ -82,7 +82,7 @@
 		_, choice = r.chooseHolder(r.current.Load(), req, time.Now())
 		So(choice.Refused(), ShouldBeFalse)
 	})
-	Convey("A request that could not be answered within its target latency does not wait", t, func() {
+	Convey("A request that could not be answered within its latency target does not wait", t, func() {
 		r, req, _ := start(120 * time.Millisecond)
 		So(r.awaitRangeOpen(context.Background(), req, *r.tableUpdated.Load()), ShouldBeFalse)
 	})
--- a/io/process/router/sitecounts.go
+++ b/io/process/router/clustercounts.go
@@ -11,8 +11,8 @@
 	"catkinstep/core/version/fleet"
 )
 
-// siteCounts are the leader's sums of all daemons' request counts and server statistics.
-type siteCounts struct {
+// clusterCounts are the leader's sums of all daemons' request counts and server statistics.
+type clusterCounts struct {
 	meter     *rate.Meter
 	slowdowns *pace.Estimator
 	// queueReports are the reports on the servers' queues since the last window.
@@ -22,7 +22,7 @@
 // serverStats are the measurements of a server since the last report.
 type serverStats struct {
 	pace.Sample
-	// loadReports and fullReports are the numbers of answers that reported the load, and
+	// loadReports and fullReports are the numbers of responses that reported the load, and
 	// that reported a long queue.
 	loadReports, fullReports int
 }
@@ -42,12 +42,12 @@
 	return &wire.Pace{Server: server, Factor: float32(s.Factor), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.fullReports)}
 }
 
-func newSiteCounts() *siteCounts {
-	return &siteCounts{meter: rate.New(keeper.Buckets), slowdowns: pace.New()}
+func newClusterCounts() *clusterCounts {
+	return &clusterCounts{meter: rate.New(keeper.Buckets), slowdowns: pace.New()}
 }
 
 // add adds the counts of one daemon.
-func (c *siteCounts) add(message *wire.Gossip) {
+func (c *clusterCounts) add(message *wire.Gossip) {
 	for _, x := range message.Heat {
 		c.meter.Add(x.Service, int(x.Bucket), int(x.Requests), millis(x.WorkMillis), millis(x.AimMillis))
 	}
@@ -63,7 +63,7 @@
 func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // closeWindow closes the current window and returns the load of each service.
-func (c *siteCounts) closeWindow(now time.Time, cfg config.Config, servers *fleet.Fleet) []keeper.LoadMsg {
+func (c *clusterCounts) closeWindow(now time.Time, cfg config.Config, servers *fleet.Fleet) []keeper.LoadMsg {
 	c.slowdowns.Retain(func(server string) bool { _, ok := servers.Find(server); return ok })
 	factors := c.slowdowns.Factors()
 	var out []keeper.LoadMsg
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -51,8 +51,8 @@
 	}
 	// connectionRefusedMsg reports that a daemon's address refused a connection.
 	connectionRefusedMsg struct{ address string }
-	// unansweredMsg reports that a daemon did not answer a call.
-	unansweredMsg struct{ address string }
+	// callUnansweredMsg reports that a daemon did not reply to a call.
+	callUnansweredMsg struct{ address string }
 	// gossipEndedMsg reports that a gossip call has ended, with or without a reply.
 	gossipEndedMsg struct{ address string }
 	keeperMsg      struct{ msg keeper.Msg }
@@ -94,7 +94,7 @@
 	// and changes by the sequence number of the older table that they apply to.
 	encodedTables map[uint64][]byte
 	stored        storedTable
-	loadStats     *siteCounts
+	clusterCounts *clusterCounts
 	limits        holderLimits
 	startedAt     time.Time
 	boot          boot.Boot
@@ -121,7 +121,7 @@
 	c := &control{
 		r: r, caches: map[news.Kind]*news.Cache{}, knownRevisions: map[news.Kind]*atomic.Uint64{},
 		members: member.New(r.self, now), serverList: newServerList(),
-		gossipPending: map[string]bool{}, pendingFetches: pendingFetches{}, encodedTables: map[uint64][]byte{}, lastCountReport: countReport{sentAt: now}, loadStats: newSiteCounts(), startedAt: now, boot: boot.New(now), seeds: r.settings.Seeds,
+		gossipPending: map[string]bool{}, pendingFetches: pendingFetches{}, encodedTables: map[uint64][]byte{}, lastCountReport: countReport{sentAt: now}, clusterCounts: newClusterCounts(), startedAt: now, boot: boot.New(now), seeds: r.settings.Seeds,
 	}
 	for _, k := range news.Kinds {
 		c.caches[k], c.knownRevisions[k] = news.NewCache(k), &atomic.Uint64{}
@@ -154,7 +154,7 @@
 		delete(c.gossipPending, m.address)
 	case connectionRefusedMsg:
 		c.members.RecordRefused(m.address)
-	case unansweredMsg:
+	case callUnansweredMsg:
 		c.members.RecordUnanswered(now, m.address)
 	case keeperMsg:
 		c.updateKeeper(now, m.msg)
@@ -182,7 +182,7 @@
 	if c.due(now, &c.lastRuns.standbyCheck, standbyCheckInterval) {
 		c.isStandbyReader.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
 	}
-	c.dropExpired(now)
+	c.dropExpiredServers(now)
 	c.tryTakeLead(now)
 	if c.keeper != nil {
 		c.runKeeper(now)
@@ -193,10 +193,10 @@
 	c.r.ready.Store(!c.leaving && c.isReady(now))
 }
 
-// recordStoreFailure records that the store did not answer this daemon. At the first
-// failure of the leader or the standby reader it informs the other daemons, so that
-// another one reads in its place at once. Failures of other daemons are not propagated:
-// in an outage all of them end up trying.
+// recordStoreFailure records that the store did not answer this daemon. If this daemon is
+// the leader or the standby reader, the first failure is propagated, so that another daemon
+// reads in its place at once. Failures of other daemons are not propagated: in an outage,
+// all of them end up trying to read.
 func (c *control) recordStoreFailure(now time.Time) {
 	first := c.members.LastStoreFailure().IsZero()
 	c.members.RecordStoreFailure(now)
@@ -206,7 +206,7 @@
 }
 
 // isReady reports whether requests can be served: there is a configuration, the servers
-// are known, and so are the holders of keys or maxTableWait has passed.
+// are known, and either the holders of keys are known too or maxTableWait has passed.
 func (c *control) isReady(now time.Time) bool {
 	s := c.r.current.Load()
 	if !s.configured || len(s.fleet.All()) == 0 {
@@ -277,7 +277,7 @@
 		}
 		c.r.current.Store(s.withConfig(next.WithIndex()))
 		c.updateShares()
-		c.r.meters.setGauge("config.version", next.Version)
+		c.r.metrics.setGauge("config.version", next.Version)
 		c.r.log.Info("config: in force", "version", next.Version, "revision", it.Revision, "routes", len(next.Routes))
 	}
 }
@@ -365,6 +365,6 @@
 	clear(c.encodedTables)
 	c.r.current.Store(s.withTable(t))
 	c.r.recordTableChange(now, t)
-	c.r.meters.setGauge("keys.epoch", t.Epoch)
+	c.r.metrics.setGauge("keys.epoch", t.Epoch)
 	return true
 }
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -84,7 +84,7 @@
 		r.updateServers(atSecond(6), 30, news.Item{Name: "a", Revision: 25, Removed: true}, news.Item{Name: "b", Revision: 26, Removed: true})
 		So(r.hasServer("a"), ShouldBeTrue)
 		r.updateServers(atSecond(7), 40, serverItem("b", 35))
-		r.control.dropExpired(atSecond(8.3))
+		r.control.dropExpiredServers(atSecond(8.3))
 		So(r.hasServer("a"), ShouldBeFalse)
 		So(r.hasServer("b"), ShouldBeTrue)
 		r.updateServers(atSecond(8.4), 50, news.Item{Name: "c", Revision: 45, Removed: true})
@@ -92,7 +92,7 @@
 	})
 }
 
-// Guards against an older or invalid configuration that replaces the one in force.
+// Guards against replacing the configuration in force by an older or invalid one.
 func TestOlderConfigurationsAreIgnored(t *testing.T) {
 	Convey("An older or invalid configuration is ignored", t, func() {
 		r := newTestRouter()
@@ -112,7 +112,8 @@
 	})
 }
 
-// Guards against more retries than allowed over all daemons, which do not coordinate each retry.
+// Guards against more retries by all daemons together than allowed: daemons do not coordinate
+// each retry.
 func TestRetryBurstIsDividedAmongDaemons(t *testing.T) {
 	Convey("The bursts of all daemons together stay below the configured burst", t, func() {
 		r := newTestRouter()
@@ -133,8 +134,8 @@
 	})
 }
 
-// Guards against a second holder of a key. A network partition that refused connections to
-// the first holder was taken for the end of that server.
+// Guards against a second holder of a key: a network partition that refused connections to the
+// first holder was taken for the end of that server.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	Convey("A call whose connection is refused counts only as not sent", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -7,11 +7,11 @@
 	"catkinstep/core/process/pace"
 )
 
-// countReport describes a daemon's last report of its counts, which the next one builds on.
+// countReport describes the last report of this daemon's counts. The next report depends on it.
 type countReport struct {
 	sentAt time.Time
-	// relayedStats are server statistics that other daemons of the data centre reported
-	// after that report.
+	// relayedStats are the server statistics that other daemons of the data centre have
+	// sent since that report, to be relayed with the next one.
 	relayedStats []*wire.Pace
 	// leaderEpoch is the epoch of the leader that received the report.
 	leaderEpoch uint64
@@ -21,7 +21,7 @@
 // report goes to a relay of the data centre and from there to the leader, which receives
 // one message per relay instead of one per daemon.
 func (c *control) sendCounts(now time.Time, isRelay bool) {
-	if now.Sub(c.lastCountReport.sentAt) < loadReportInterval {
+	if now.Sub(c.lastCountReport.sentAt) < countReportInterval {
 		return
 	}
 	message := c.newGossip(now)
@@ -29,7 +29,7 @@
 	c.lastCountReport = countReport{sentAt: now, leaderEpoch: c.r.current.Load().table.Epoch}
 	message.Heat, message.Paces = c.r.takeCounts(previous.relayedStats, c.lastCountReport.leaderEpoch != previous.leaderEpoch)
 	if c.keeper != nil {
-		c.loadStats.add(message)
+		c.clusterCounts.add(message)
 		return
 	}
 	target := c.members.AddressOf(c.r.current.Load().table.Leader.Daemon)
@@ -50,7 +50,7 @@
 func (c *control) receiveCounts(now time.Time, message *wire.Gossip) {
 	switch {
 	case c.keeper != nil:
-		c.loadStats.add(message)
+		c.clusterCounts.add(message)
 	case hasCounts(message) && message.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
 		c.r.addKeyCounts(message.Heat)
 		c.lastCountReport.relayedStats = append(c.lastCountReport.relayedStats, message.Paces...)
@@ -69,7 +69,7 @@
 
 // takeCounts returns the request counts and the server statistics since the last call,
 // including those relayed from other daemons, and resets them. For a new leader, which has
-// no statistics yet, the slowdowns cover earlier answers as well.
+// no statistics yet, the slowdowns cover earlier responses as well.
 func (r *Router) takeCounts(relayed []*wire.Pace, newLeader bool) ([]*wire.Heat, []*wire.Pace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -12,14 +12,15 @@
 	"catkinstep/io/connection/mesh"
 )
 
-// tableKind is the kind in a fetch of the published table, as opposed to the stored one.
+// tableKind is the kind of a fetch of the published table. The stored table has the kind
+// news.Tables.
 const tableKind = "published"
 
-// gossip sends this daemon's state to other daemons where it is due. A daemon gossips
-// with the relays of its data centre. Relays also gossip with the relays of other data
-// centres, with the leader, and with all daemons of their data centre, so that lost ones
-// are found again. A daemon that has led gossips with the leader as well, and one that
-// knows no other daemon gossips with the seeds.
+// gossip sends this daemon's state to those other daemons for which it is due. A daemon
+// gossips with the relays of its data centre. Relays also gossip with the relays of other
+// data centres, with the leader, and with all daemons of their data centre, so that lost
+// daemons are found again. A daemon that has led gossips with the leader as well,
+// and one that knows no other daemon gossips with the seeds.
 func (c *control) gossip(now time.Time) {
 	relay := c.members.IsRelay(now)
 	if c.due(now, &c.lastRuns.localGossip, c.members.GossipInterval()) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// leaderAge is how long ago, in milliseconds, the leader was last heard of; -1 if it is
-// unknown or an earlier incarnation of this daemon.
+// leaderAge is how long ago, in milliseconds, the leader was last heard from. It is -1 if
+// that is unknown, or if the leader is an earlier incarnation of this daemon.
 func (c *control) leaderAge(now time.Time, l grant.Leader) int64 {
 	if l.Daemon == c.r.self.Name {
 		if l.Incarnation == c.r.self.Incarnation {
@@ -147,7 +148,7 @@
 		if errors.As(err, &e) && e.Kind == mesh.ConnectionRefused {
 			r.post(connectionRefusedMsg{address: address})
 		}
-		r.post(unansweredMsg{address: address})
+		r.post(callUnansweredMsg{address: address})
 		return
 	}
 	if reply.GetGossip() != nil {
--- a/io/process/router/http.go
+++ b/io/process/router/http.go
@@ -62,6 +62,6 @@
 // ServeMetrics writes the counters and latencies as JSON.
 func (r *Router) ServeMetrics(w http.ResponseWriter, _ bunrouter.Request) error {
 	w.Header().Set("Content-Type", "application/json")
-	_, err := io.WriteString(w, r.meters.vars.String())
+	_, err := io.WriteString(w, r.metrics.vars.String())
 	return err
 }
--- a/io/process/router/late.go
+++ b/io/process/router/late.go
@@ -7,7 +7,7 @@
 	"catkinstep/io/connection/link"
 )
 
-// Reasons why an answer exceeded the target latency. Logs and metrics use these names.
+// Reasons why a response exceeded the latency target. Logs and metrics use these names.
 const (
 	lateRetried    = "afterFailedAttempt"
 	lateQueued     = "waited"
@@ -18,24 +18,24 @@
 // slowdownThreshold is the slowdown from which a server counts as slow.
 const slowdownThreshold = 1.5
 
-// logLateAnswer logs and counts an answer that exceeded the route's target latency.
-func (r *Router) logLateAnswer(req *request, choice spread.Choice, a *link.Response) {
+// logLateResponse logs and counts a response that exceeded the route's latency target.
+func (r *Router) logLateResponse(req *request, choice spread.Choice, resp *link.Response) {
 	elapsed := time.Since(req.ReadAt)
 	if elapsed <= req.route.LatencyTarget {
 		return
 	}
-	reason := lateReason(req.attempts(), a.Load)
-	r.meters.increment("late." + reason)
+	reason := lateReason(req.attempts(), resp.Load)
+	r.metrics.increment("late." + reason)
 	load := link.Load{}
-	if a.Load != nil {
-		load = *a.Load
+	if resp.Load != nil {
+		load = *resp.Load
 	}
 	r.log.Info("request: answered late", append([]any{"id", req.id, "route", req.route.Name, "reason", reason, "took", elapsed.String(),
 		"running", load.Running, "waiting", load.Waiting, "slots", load.Slots, "pace", load.Slowdown}, r.decisionAttrs(req, choice)...)...)
 }
 
-// lateReason derives the reason for a late answer from the number of attempts and from the
-// load that the server reported with the answer.
+// lateReason derives the reason for a late response from the number of attempts and from the
+// load that the server reported with it.
 func lateReason(attempts int, l *link.Load) string {
 	switch {
 	case attempts > 1:
--- a/io/process/router/late_test.go
+++ b/io/process/router/late_test.go
@@ -8,7 +8,7 @@
 	"catkinstep/io/connection/link"
 )
 
-// Guards against late answers that are logged with a wrong reason or without one.
+// Guards against late responses that are logged with a wrong reason or without one.
 func TestLateReason(t *testing.T) {
 	Convey("Each reason is recognised", t, func() {
 		So(lateReason(2, &link.Load{Waiting: 3}), ShouldEqual, lateRetried)
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -59,7 +59,7 @@
 	// acquiring is set during an attempt to become the leader.
 	acquiring bool
 	// hasLed is set once the daemon has been the leader. It then keeps sending gossip to
-	// the leader, since its successor waits for that.
+	// the leader: its successor waits to hear that it has stepped down.
 	hasLed bool
 }
 
@@ -68,7 +68,7 @@
 	c.leadership = leaderState{previous: m.previous.Leader, hasLed: true}
 	c.members.RecordStoreResponse(now)
 	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithGrantTTL(c.r.grantTTL))
-	c.loadStats = newSiteCounts()
+	c.clusterCounts = newClusterCounts()
 	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.leadership.previous.Daemon, "revision", m.revision)
 	c.updateKeeperFleet(now)
 	c.runKeeper(now)
@@ -81,9 +81,9 @@
 	if c.keeper != nil && c.members.HasSteppedDown(c.leadership.previous, c.keeper.Table().Epoch) {
 		c.updateKeeper(now, keeper.OldLeaderStoppedMsg{At: now})
 	}
-	if now.Sub(c.loadStats.meter.WindowStart()) >= loadReportInterval {
+	if now.Sub(c.clusterCounts.meter.WindowStart()) >= countReportInterval {
 		s := c.r.current.Load()
-		for _, l := range c.loadStats.closeWindow(now, s.config, s.fleet) {
+		for _, l := range c.clusterCounts.closeWindow(now, s.config, s.fleet) {
 			c.updateKeeper(now, l)
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 	client.grantMu.Unlock()
 	outcome.EndedAt = r.now()
-	r.meters.increment("grants." + outcome.Result.String())
+	r.metrics.increment("grants." + outcome.Result.String())
 	r.post(keeperMsg{msg: outcome})
 }
 
@@ -153,17 +153,18 @@
 		client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forReleases})
 		outcome.Result, outcome.Handover = r.callServer(client, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
-	r.meters.increment("releases." + outcome.Result.String())
+	r.metrics.increment("releases." + outcome.Result.String())
 	r.post(keeperMsg{msg: outcome})
 }
 
-// callServer makes a control call to a server: a grant or a release.
+// callServer makes a control call to a server, which is a grant or a release. It returns the
+// result, and the handover of a release.
 func (r *Router) callServer(client *serverClient, h grant.Holder, req link.Request, timeout time.Duration) (grant.Result, string) {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), timeout)
 	defer cancel()
-	answer, err := client.Do(ctx, req)
+	resp, err := client.Do(ctx, req)
 	if err == nil {
-		return r.protocol.Result(answer)
+		return r.protocol.Result(resp)
 	}
 	if !req.ExistingConnOnly || !link.NotRun(err) {
 		r.log.Info("keys: call to server failed", "target", req.Target, "server", h.Server, "host", req.Host, "err", err)
@@ -174,8 +175,8 @@
 	return grant.Unsure, ""
 }
 
-// saveTable replaces the stored table if it is at the given revision. On a conflict it
-// returns the table in the store.
+// saveTable replaces the stored table if that is at the given revision. On a conflict it
+// returns the table in the store together with the error.
 func (r *Router) saveTable(t grant.Table, revision uint64) (news.Item, error) {
 	value, err := t.Marshal()
 	if err != nil {
@@ -183,7 +184,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
 	defer cancel()
-	r.meters.increment("store.save.tables")
+	r.metrics.increment("store.save.tables")
 	item, err := r.store.Save(ctx, news.Tables, tableName, value, revision)
 	if item.Revision > 0 {
 		r.post(deltaMsg{delta: news.Delta{Kind: news.Tables, Items: []news.Item{item}}})
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -10,7 +10,7 @@
 )
 
 // reasonKeyOverloaded means that the holder of a key gets more requests from all daemons
-// together than it can answer in time.
+// together than it can respond to in time.
 const reasonKeyOverloaded spread.Reason = "keyOverloaded"
 
 // holderLimits are the leader's limits for overloaded holders, and its list of contended
@@ -85,7 +85,7 @@
 }
 
 // admit decides at random, by the limits in force, whether a request for a key may go to its
-// holder. A request that was admitted stays so for further attempts. r.mu must be held.
+// holder. A request that was admitted stays admitted for further attempts. r.mu must be held.
 func (r *Router) admit(req *request, now time.Time) (retryAfter time.Duration, ok bool) {
 	if req.admitted {
 		return 0, true
--- a/io/process/router/mesh.go
+++ b/io/process/router/mesh.go
@@ -6,32 +6,34 @@
 	"catkinstep/core/connection/wire"
 )
 
-// call sends a call to another daemon and counts the bytes sent and received.
+// call sends a call to another daemon on a stream of its own, and counts the bytes sent and
+// received.
 func (r *Router) call(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
-	r.meters.addBytes(bytesOut, call)
+	r.metrics.addBytes(bytesOut, call)
 	reply, err := r.mesh.Call(ctx, address, call)
 	if err == nil {
-		r.meters.addBytes(bytesIn, reply)
+		r.metrics.addBytes(bytesIn, reply)
 	}
 	return reply, err
 }
 
-// callShort is like call, but for short calls that are made often.
-func (r *Router) callShort(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
-	r.meters.addBytes(bytesOut, call)
+// callShared is like call, but uses the stream that short calls share. It suits calls that are
+// made often; see mesh.CallShared.
+func (r *Router) callShared(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
+	r.metrics.addBytes(bytesOut, call)
 	reply, err := r.mesh.CallShared(ctx, address, call)
 	if err == nil {
-		r.meters.addBytes(bytesIn, reply)
+		r.metrics.addBytes(bytesIn, reply)
 	}
 	return reply, err
 }
 
 // handleMeshCall answers another daemon's call and counts the bytes received and sent.
 func (r *Router) handleMeshCall(ctx context.Context, call *wire.Call) *wire.Reply {
-	r.meters.addBytes(bytesIn, call)
+	r.metrics.addBytes(bytesIn, call)
 	reply := r.handleCall(ctx, call)
 	if reply != nil {
-		r.meters.addBytes(bytesOut, reply)
+		r.metrics.addBytes(bytesOut, reply)
 	}
 	return reply
 }
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -33,10 +33,12 @@
 	// times a second. Daemons must learn within two seconds that a server is leaving.
 	serverReadPause = 300 * time.Millisecond
 	// standbyReadPause is the pause between two reads of any kind by the standby reader. By
-	// the end of it, most changes have reached it from the leader and are not propagated twice.
+	// the end of it, most changes have reached the standby reader from the leader, so that it
+	// does not propagate them a second time.
 	standbyReadPause = 700 * time.Millisecond
-	// standbyCheckInterval is the time between two checks whether this daemon is the standby
-	// reader. A check sorts the relays of all data centres.
+	// standbyCheckInterval is the time between two checks of whether this daemon is the
+	// standby reader. It is longer than a tick because a check sorts the relays of all data
+	// centres.
 	standbyCheckInterval = 200 * time.Millisecond
 	// serverWatchWait and watchWait are how long a watch waits for a change. Servers update
 	// their entries every second or two, all other objects change rarely.
@@ -44,27 +46,27 @@
 	watchWait       = 2500 * time.Millisecond
 	// probeWatchWait is how long the first watch after a failed call waits for a change.
 	probeWatchWait = 20 * time.Millisecond
-	// watchTimeoutMargin is how much longer than these waits a watch may take to answer.
+	// watchTimeoutMargin is how much longer than these waits a watch may take.
 	watchTimeoutMargin = 700 * time.Millisecond
-	// storeTimeout bounds other calls to the store, which take milliseconds.
+	// storeTimeout bounds all calls to the store but watches. They normally take milliseconds.
 	storeTimeout = 900 * time.Millisecond
-	// minBackoff and maxBackoff bound the pause after a failed call to the store.
+	// minBackoff and maxBackoff bound the backoff after a failed call to the store.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 600 * time.Millisecond
 	// grantTimeout and releaseTimeout bound calls to servers. A release waits until the
 	// server's running requests have ended.
 	grantTimeout   = 700 * time.Millisecond
 	releaseTimeout = 3 * time.Second
-	// retentionTime is how long after an outage of the store servers whose entries vanished
+	// serverRetention is how long after an outage of the store servers whose entries vanished
 	// are retained. Those that are alive are listed again within about two seconds.
-	retentionTime = 2200 * time.Millisecond
+	serverRetention = 2200 * time.Millisecond
 	// minOutage is the shortest time without updates after which entries of live servers may
 	// have expired: three of the servers' heartbeats. If the store refuses only one reader,
 	// another daemon takes over sooner, so a gap of this length means an outage of the store.
 	minOutage = 2500 * time.Millisecond
-	// loadReportInterval is the time between two reports of the load on keys to the leader.
+	// countReportInterval is the time between two reports of the load on keys to the leader.
 	// It is short because a key may be hot for only a few seconds.
-	loadReportInterval = 500 * time.Millisecond
+	countReportInterval = 500 * time.Millisecond
 	// shutdownAcceptTime is how long connections are still accepted after a shutdown began:
 	// the load balancer needs two failed health checks, a second apart.
 	shutdownAcceptTime = 2800 * time.Millisecond
@@ -76,13 +78,13 @@
 	retryUtilisation = 0.7
 	// responseMargin is how long after the deadline a server's response is still awaited.
 	responseMargin = 60 * time.Millisecond
-	// responseTransitTime is subtracted from the time that a server is given, for the
-	// transfer of its response.
+	// responseTransitTime is subtracted from the time that a server is given to respond. It
+	// leaves time for the transfer of the response.
 	responseTransitTime = 3 * time.Millisecond
 	// maxIdleGrantConns is how many idle connections for grants, and for releases, are kept
 	// to each server.
 	maxIdleGrantConns = 1
-	// The default limits apply to callers until a configuration is in force. They are usual
+	// The default limits apply to callers while no configuration sets limits. They are usual
 	// values of HTTP servers.
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 1 << 20
@@ -95,8 +97,8 @@
 	notReadyRetryDelay = 250 * time.Millisecond
 )
 
-// Store is the platform's object store, independent of the platform's API. Errors are of
-// type *news.Error.
+// Store is the platform's object store. It hides the platform's API from this package.
+// Errors are of type *news.Error.
 type Store interface {
 	// List returns all objects of a kind. If allowStale is set, the list may be some
 	// seconds old, which costs the store little.
@@ -106,36 +108,39 @@
 	// Read returns one object.
 	Read(ctx context.Context, kind news.Kind, name string) (news.Item, error)
 	// Save replaces an object if it is at the given revision, or creates it if revision is
-	// 0. On a conflict it returns the object in the store.
+	// 0. On a conflict it returns the object in the store together with the error.
 	Save(ctx context.Context, kind news.Kind, name string, value []byte, revision uint64) (news.Item, error)
 }
 
-// Protocol defines the platform's requests and headers towards backend servers and callers.
+// Protocol defines the requests, responses and headers between the daemon and backend servers
+// and, as CallerProtocol, those between the daemon and callers.
 type Protocol interface {
-	// Names returns the names of the headers.
+	// Names returns the names of the headers between daemons and backend servers.
 	Names() names.Names
 	// Grant returns the request that grants a range of keys to a server.
 	Grant(grant.Call) link.Request
-	// Release returns the request by which a server releases a range of keys.
+	// Release returns the request that asks a server to release a range of keys.
 	Release(grant.Call) link.Request
-	// Result interprets the response to a grant or a release. A release returns the
-	// handover as well.
+	// Result interprets the response to a grant or a release. The response to a release
+	// also contains the handover, the state that the next holder of the range gets.
 	Result(*link.Response) (r grant.Result, handover string)
 	CallerProtocol
 }
 
 // CallerProtocol is the part of a Protocol that concerns callers.
 type CallerProtocol interface {
-	// ID returns the id of a caller's request.
+	// ID returns the ID of a caller's request.
 	ID(h http.Header) string
 	// CallerTimeout returns how long the caller waits, if its request says so.
 	CallerTimeout(h http.Header) (time.Duration, bool)
 	// Key returns the number of the key that a request for a service refers to, if any. The
 	// path is the one that is sent to the server.
 	Key(s config.Service, path string, h http.Header) (int, bool)
-	// AddResponseHeaders adds headers for the caller to a server's response.
+	// AddResponseHeaders adds headers for the caller to the response of a server, given the
+	// IDs of the request and of the server.
 	AddResponseHeaders(h http.Header, id, server string)
-	// RefusalResponse returns the header and body of a response that the daemon itself gives.
+	// RefusalResponse returns the header and body of a reply that the daemon itself makes,
+	// because it cannot pass on a server's response.
 	RefusalResponse(f caller.Refusal) (http.Header, []byte)
 }
 
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// permitTimeout is how long a request waits for a permit: a small part of the service
-	// times for which permits are worthwhile. Without an answer it is sent at once.
+	// permitTimeout is how long a request waits for the issuer's decision: a small part of
+	// the service times for which permits are worthwhile. After that, it is sent without one.
 	permitTimeout = 40 * time.Millisecond
 	// contendedTTL is how long the leader's list of contended holders is valid. The leader
 	// sends a new one twice a second.
@@ -38,7 +38,7 @@
 // fields but issuers.
 type permits struct {
 	issuer *permit.Issuer
-	// contended is the leader's list of holders that require a permit, by server id. It is
+	// contended is the leader's list of holders that require a permit, by server ID. It is
 	// valid until contendedUntil.
 	contended      map[string]bool
 	contendedUntil time.Time
@@ -46,15 +46,15 @@
 	issuers atomic.Pointer[map[string][]string]
 	// absentUntil is until when an issuer that did not answer is not asked, by address.
 	absentUntil map[string]time.Time
-	// lastID is the id of the last permit request.
+	// lastID is the ID of the last permit request.
 	lastID uint64
 }
 
-// heldPermit identifies the permit of an attempt. serverProcess names the server and its
-// current process.
+// heldPermit identifies the permit of an attempt. serverInstance names the server and its
+// instance.
 type heldPermit struct {
-	issuer, serverProcess string
-	id                    uint64
+	issuer, serverInstance string
+	id                     uint64
 }
 
 func (p *permits) setContended(issuedAt time.Time, contended []string) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// refreshIssuers updates the list of daemons that may issue permits, and expires the permits
-// of requests that have certainly ended.
+// refreshIssuers updates the list of daemons that may issue permits. It also drops the expired
+// permits that this daemon issued, whose requests have certainly ended.
 func (c *control) refreshIssuers(now time.Time) {
 	if c.due(now, &c.lastRuns.issuerList, issuersInterval) {
 		liveDaemons := c.members.ReachableAddresses(now)
@@ -74,15 +74,15 @@
 		c.r.permits.issuer.Expire(time.Now())
 		count := c.r.permits.issuer.Count()
 		c.r.mu.Unlock()
-		c.r.meters.setGauge("permits.counted", uint64(count))
+		c.r.metrics.setGauge("permits.counted", uint64(count))
 	}
 }
 
 // issuerFor returns the daemon of the server's data centre that issues permits for the server
-// process. It is chosen by rendezvous hashing among the daemons that answer. Daemons with
+// instance. It is chosen by rendezvous hashing among the daemons that answer. Daemons with
 // the same membership view choose the same issuer; with different views, each issuer counts
 // only a part of the queue.
-func (r *Router) issuerFor(server fleet.Server, serverProcess string) string {
+func (r *Router) issuerFor(server fleet.Server, serverInstance string) string {
 	issuers := r.permits.issuers.Load()
 	if issuers == nil {
 		return ""
@@ -94,16 +94,16 @@
 		if now.Before(r.permits.absentUntil[address]) {
 			continue
 		}
-		if weight := xxhash.Sum64String(address + " " + serverProcess); weight >= maxWeight {
+		if weight := xxhash.Sum64String(address + " " + serverInstance); weight >= maxWeight {
 			issuer, maxWeight = address, weight
 		}
 	}
 	return issuer
 }
 
-// ensurePermit requests a permit if the chosen server is contended, and returns the choice,
-// refused if the permit was denied. A permit overrides this daemon's own estimate that the
-// server is too busy.
+// ensurePermit requests a permit if the chosen server is contended. It returns the choice, as
+// a refusal if the permit was denied. A granted permit overrides this daemon's own estimate
+// that the server is too busy.
 func (r *Router) ensurePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) spread.Choice {
 	decision, answered := r.acquirePermit(ctx, req, server, choice)
 	switch {
@@ -126,8 +126,8 @@
 	r.spread.End(time.Now(), server, req.requirements, req.attemptStart, outcome, nil)
 }
 
-// acquirePermit returns the issuer's decision, or false if no permit is needed or no answer
-// came.
+// acquirePermit returns the issuer's decision, or false if no permit is needed or no issuer
+// replied.
 func (r *Router) acquirePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) (permit.Decision, bool) {
 	permitReq, ok := r.permitRequest(req, server, choice)
 	if !ok {
@@ -139,14 +139,14 @@
 	}
 	decision, answered := r.askIssuer(ctx, issuer, permitReq)
 	if !answered || decision.Granted {
-		// Without an answer, the permit may have been granted and must be released.
-		req.permit = heldPermit{issuer: issuer, serverProcess: permitReq.Server, id: permitReq.ID}
+		// Without a reply, the permit may have been granted and must be released.
+		req.permit = heldPermit{issuer: issuer, serverInstance: permitReq.Server, id: permitReq.ID}
 	}
 	return decision, answered
 }
 
 // permitRequest returns the permit request for an attempt, or false if it needs no permit. The
-// leader decides which holders of keys are contended, this daemon decides about other
+// leader decides which holders of keys are contended, and this daemon decides it for all other
 // servers.
 func (r *Router) permitRequest(req *request, server fleet.Server, choice spread.Choice) (permit.Request, bool) {
 	r.mu.Lock()
@@ -181,16 +181,16 @@
 // askIssuer asks an issuer, which may be this daemon, for a permit. It returns false if the
 // issuer did not answer.
 func (r *Router) askIssuer(ctx context.Context, issuer string, permitReq permit.Request) (permit.Decision, bool) {
-	r.meters.increment("permits.asked")
+	r.metrics.increment("permits.asked")
 	m := &wire.Permit{Server: permitReq.Server, Id: permitReq.ID, Slots: uint32(permitReq.Slots), WorkMillis: millisOf(permitReq.ServiceTime), PatienceMillis: millisOf(permitReq.MaxLatency), LastsMillis: millisOf(permitReq.TTL)}
 	if issuer == r.self.Address {
 		return decisionOf(r.issuePermit(m)), true
 	}
 	askCtx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	reply, err := r.callShort(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
+	reply, err := r.callShared(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
 	if err != nil || reply.Permit == nil {
-		r.meters.increment("permits.unanswered")
+		r.metrics.increment("permits.unanswered")
 		if ctx.Err() == nil { // otherwise the caller left
 			r.markIssuerAbsent(issuer, err)
 		}
@@ -220,7 +220,7 @@
 		return
 	}
 	req.permit = heldPermit{}
-	m := &wire.PermitEnd{Server: p.serverProcess, Id: p.id}
+	m := &wire.PermitEnd{Server: p.serverInstance, Id: p.id}
 	if p.issuer == r.self.Address {
 		r.handlePermitEnd(m)
 		return
@@ -229,9 +229,9 @@
 		ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), meshTimeout)
 		defer cancel()
 		call := &wire.Call{Kind: &wire.Call_PermitEnd{PermitEnd: m}}
-		r.meters.addBytes(bytesOut, call)
+		r.metrics.addBytes(bytesOut, call)
 		if err := r.mesh.Notify(ctx, p.issuer, call); err != nil {
-			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.serverProcess, "err", err)
+			r.log.Debug("permits: end not reported", "issuer", p.issuer, "server", p.serverInstance, "err", err)
 		}
 	}()
 }
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -48,7 +48,7 @@
 	return sent, refused
 }
 
-// routerWithIssuer returns another router, whose permits the given one issues.
+// routerWithIssuer returns another router that gets its permits from the given one.
 func routerWithIssuer(issuer *Router) *Router {
 	r := contendedRouter()
 	r.permits.issuer = issuer.permits.issuer
@@ -82,8 +82,8 @@
 	})
 }
 
-// Guards against permits that are never released, which block a server until its callers'
-// deadlines.
+// Guards against permits that are never released, which block a server until the deadlines of
+// their requests.
 func TestPermitsAreReleased(t *testing.T) {
 	Convey("The permit of an attempt that has ended is released", t, func() {
 		r := contendedRouter()
@@ -92,10 +92,10 @@
 			req.Request.Request = httptest.NewRequest(http.MethodGet, "/look", nil)
 			So(r.sendWithRetries(context.Background(), req).Status, ShouldEqual, http.StatusServiceUnavailable)
 		}
-		So(r.meters.vars.Get("permits.asked").String(), ShouldNotEqual, "0")
+		So(r.metrics.vars.Get("permits.asked").String(), ShouldNotEqual, "0")
 		So(r.permits.issuer.Count(), ShouldEqual, 0)
 	})
-	Convey("An attempt whose issuer did not answer holds a permit to release, since it may have been granted", t, func() {
+	Convey("An attempt whose issuer did not answer keeps a permit to release, since the permit may have been granted", t, func() {
 		r := contendedRouter()
 		req := lookupRequest(time.Second)
 		server, choice := r.chooseHolder(r.current.Load(), req, time.Now())
@@ -137,8 +137,8 @@
 		}
 		reply := r.sendWithRetries(context.Background(), req)
 		So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
-		So(r.meters.vars.Get("refused."+string(reasonServerContended)).String(), ShouldEqual, "1")
-		So(r.meters.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+maxOtherServers))
+		So(r.metrics.vars.Get("refused."+string(reasonServerContended)).String(), ShouldEqual, "1")
+		So(r.metrics.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+maxOtherServers))
 		So(r.spread.OwnLoad(), ShouldBeEmpty) // requests that were not sent are not in flight
 	})
 }
@@ -153,7 +153,7 @@
 		r.permits.issuer.Acquire(time.Now().Add(-time.Minute), permit.Request{Server: "other", ID: 1, Slots: 1, TTL: time.Second})
 		r.control.refreshIssuers(atSecond(1))
 		So(r.permits.issuer.Count(), ShouldEqual, 1)
-		So(r.meters.vars.Get("permits.counted").String(), ShouldEqual, "1")
+		So(r.metrics.vars.Get("permits.counted").String(), ShouldEqual, "1")
 	})
 }
 
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -9,7 +9,8 @@
 	"catkinstep/core/version/news"
 )
 
-// roleCheckInterval is the time between two checks whether this daemon should read the store.
+// roleCheckInterval is the time between two checks of whether this daemon should read the
+// store.
 const roleCheckInterval = 100 * time.Millisecond
 
 // readKind reads the objects of one kind from the store and follows their changes,
@@ -23,10 +24,10 @@
 			continue
 		}
 		requestedAt := r.now()
-		r.meters.increment("store.read." + string(kind))
+		r.metrics.increment("store.read." + string(kind))
 		d, err := r.listOrWatch(ctx, kind, listed, storeUp)
 		if err != nil {
-			r.meters.increment("store.failed." + string(kind))
+			r.metrics.increment("store.failed." + string(kind))
 			if ctx.Err() != nil {
 				return nil //nolint:nilerr // the router stops
 			}
@@ -65,8 +66,8 @@
 }
 
 // waitBeforeRetry waits after a failed call to the store. The wait grows with the number
-// of daemons of the data centre that rank before this one, and ends early once this daemon
-// need not read any more.
+// of daemons of the data centre that rank before this one. It ends early if this daemon
+// need no longer read the store.
 func (r *Router) waitBeforeRetry(ctx context.Context, backoff time.Duration) {
 	startedAt := r.now()
 	sleep(ctx, backoff)
@@ -76,12 +77,14 @@
 }
 
 // listOrWatch lists the objects of a kind the first time and after the store has lost the
-// history of changes, and otherwise waits for changes. The very first list may be stale:
-// later changes arrive with the first watch, or with the gossip of daemons that started
-// earlier. A stale list costs the store little, and the lists of daemons that start at the
-// same time are most of the requests to the store in an hour. After a failed call
-// (storeUp is false) the store may be down, and a long watch that began then would receive
-// nothing even once the store is back, so a short watch comes first.
+// history of changes, and otherwise waits for changes.
+//
+// The very first list may be stale: later changes arrive with the first watch, or with the
+// gossip of daemons that started earlier. A stale list costs the store little, and the lists
+// of daemons that start at the same time are most of the requests to the store in an hour.
+//
+// After a failed call, storeUp is false and the store may be down. A long watch that began
+// then would receive nothing even once the store is back, so a short watch comes first.
 func (r *Router) listOrWatch(ctx context.Context, kind news.Kind, listed, storeUp bool) (news.Delta, error) {
 	since := r.control.knownRevision(kind)
 	if !listed || since == 0 {
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -12,8 +12,8 @@
 // run, and comes with a time after which to retry. With 502 and 504 the request may have
 // run.
 func (r *Router) giveUp(req *request, choice spread.Choice, reason string, retryAfter time.Duration) caller.Response {
-	if req.fallbackAnswer != nil {
-		return r.callerReply(req, req.fallbackAnswer)
+	if req.fallbackResponse != nil {
+		return r.callerReply(req, req.fallbackResponse)
 	}
 	if !req.maybeRan {
 		return r.refuseRequest(req, reason, retryAfter, r.decisionAttrs(req, choice)...)
@@ -34,9 +34,9 @@
 		"left", time.Until(req.deadline).String(), "attempts", req.attempts(), "config", snap.config.Version, "epoch", snap.table.Epoch, "seq", snap.table.Seq}
 }
 
-// refuseRequest refuses a resolved request. If the caller sent the same id before, that
+// refuseRequest refuses a resolved request. If the caller sent the same ID before, that
 // attempt may have run although this one did not. The refusal says so, since otherwise the
-// caller would submit the request again under a new id and it could run twice.
+// caller would submit the request again under a new ID and it could run twice.
 func (r *Router) refuseRequest(req *request, reason string, retryAfter time.Duration, attrs ...any) caller.Response {
 	refusal := caller.Refusal{ID: req.id, Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter, MaybeRan: r.wasSentBefore(req)}
 	if refusal.MaybeRan {
@@ -48,12 +48,12 @@
 // refuse replies that this attempt did not run, and after which time to retry.
 func (r *Router) refuse(refusal caller.Refusal, route string, attrs ...any) caller.Response {
 	refusal.RetryAfter = max(refusal.RetryAfter, minRetryAfter)
-	r.meters.increment("refused." + refusal.Reason)
+	r.metrics.increment("refused." + refusal.Reason)
 	r.log.Info("request: refused, not run", append([]any{"id", refusal.ID, "route", route, "reason", refusal.Reason, "retryAfter", refusal.RetryAfter.String()}, attrs...)...)
 	return r.refusalReply(refusal)
 }
 
-// minRetryAfter keeps callers from retrying within the time that an answer takes.
+// minRetryAfter keeps callers from retrying sooner than a response can be expected.
 const minRetryAfter = 50 * time.Millisecond
 
 // finalReply returns a reply without a time after which to retry. A status of 500 or above
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -59,14 +59,14 @@
 	mesh         *mesh.Mesh
 	clientPool   clientPool
 
-	mu      sync.Mutex // guards what follows, shared by requests
+	mu      sync.Mutex // guards the mutable fields from here to random, which requests share
 	spread  *spread.Balancer
 	budgets map[string]*retry.Budget
-	// suspects are requests during which servers were lost.
+	// suspects records the requests during which servers were lost.
 	suspects      *crash.Suspects
 	suspectBuffer piggybackBuffer[*wire.Suspect]
-	// sent holds the ids of requests that must not run twice, and unansweredBuffer those
-	// that may have run without an answer and that other daemons must learn of.
+	// sent holds the IDs of requests that must not run twice. unansweredBuffer holds those
+	// of them that may have run without a response, which other daemons must learn of.
 	sent             *sent.History
 	unansweredBuffer piggybackBuffer[sentRecord]
 	burn             *burn.Meter
@@ -83,7 +83,7 @@
 	bucketLoads    map[bucketKey]bucketLoad
 	random         *rand.Rand
 
-	meters *metrics
+	metrics *metrics
 }
 
 type bucketKey struct {
@@ -92,7 +92,7 @@
 }
 
 // bucketLoad is the load on a bucket of keys: the number of requests, and the sums of
-// their service times and of their target latencies.
+// their service times and of their latency targets.
 type bucketLoad struct {
 	requests                   uint32
 	serviceTime, latencyTarget time.Duration
@@ -110,7 +110,7 @@
 func New(s setup.Settings, st Store, p Protocol, opts ...Option) *Router {
 	r := &Router{
 		settings: s, store: st, protocol: p, log: slog.Default(),
-		grantTTL: keeper.DefaultGrantTTL, now: clock.Now, meters: newMetrics(), latestSettings: s, daemonCount: 1,
+		grantTTL: keeper.DefaultGrantTTL, now: clock.Now, metrics: newMetrics(), latestSettings: s, daemonCount: 1,
 		inbox: make(chan any, inboxSize), listening: make(chan struct{}),
 		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sent: sent.New(sentRetention), bucketLoads: map[bucketKey]bucketLoad{},
 		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
@@ -180,11 +180,11 @@
 	return r.tomb.Wait()
 }
 
-// Reload applies the settings that can be changed while the daemon runs, and logs a
-// warning if others differ as well.
+// Reload applies the settings that can be changed while the daemon runs. It logs a warning
+// if the name, the data centre or an address has changed, which needs a restart.
 func (r *Router) Reload(next setup.Settings) {
-	current := r.settings
-	if next.Name != current.Name || next.DataCentre != current.DataCentre || next.CallerAddress != current.CallerAddress || next.ReadyAddress != current.ReadyAddress || next.MeshAddress != current.MeshAddress {
+	initial := r.settings
+	if next.Name != initial.Name || next.DataCentre != initial.DataCentre || next.CallerAddress != initial.CallerAddress || next.ReadyAddress != initial.ReadyAddress || next.MeshAddress != initial.MeshAddress {
 		r.log.Warn("settings: changes of name, data centre and addresses need a restart")
 	}
 	r.post(settingsMsg{settings: next})
@@ -275,7 +275,7 @@
 }
 
 // retryBurst is this daemon's share of the burst of retries that all daemons may send
-// together. It is 1 for a daemon that knows no other.
+// together. It is 1 for a daemon that knows no other. r.mu must be held.
 func (r *Router) retryBurst() float64 {
 	if r.daemonCount < 2 {
 		return 1
@@ -284,7 +284,7 @@
 }
 
 // retryShare is the allowed ratio of retries to requests: the configuration's, or the
-// settings' if the configuration has none.
+// settings' if the configuration has none. r.mu must be held.
 func (r *Router) retryShare() float64 {
 	if share := r.current.Load().config.RetryShare; share > 0 {
 		return share
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -12,18 +12,18 @@
 	"catkinstep/io/connection/link"
 )
 
-// sentRetention is how long the ids of deduplicated requests are kept. Servers keep them for
+// sentRetention is how long the IDs of deduplicated requests are kept. Servers keep them for
 // the same time.
 const sentRetention = 2 * time.Minute
 
-// sentRecord records when a request was first sent. If it may have run without an answer, the
-// record is shared with the other daemons.
+// sentRecord records when a request was first sent. If the request may have run without a
+// response, the record is shared with the other daemons.
 type sentRecord struct {
 	hash        uint64
 	firstSentAt time.Time
 }
 
-// holderDeduplicates reports whether the holder of the request's key records its id, so that
+// holderDeduplicates reports whether the holder of the request's key records its ID, so that
 // it runs at most once.
 func (r *Router) holderDeduplicates(req *request) bool {
 	return !req.route.Idempotent && req.key >= 0 && r.protocol.Names().FirstSent != ""
@@ -32,7 +32,7 @@
 // sentHash identifies a deduplicated request. All copies of the request share it.
 func (req *request) sentHash() uint64 { return sent.Hash(req.service.Name, req.key, req.id) }
 
-// wasSentBefore reports whether a deduplicated request was sent under its id before and may
+// wasSentBefore reports whether a deduplicated request was sent under its ID before and may
 // have run.
 func (r *Router) wasSentBefore(req *request) bool {
 	if !r.holderDeduplicates(req) {
@@ -64,10 +64,10 @@
 }
 
 // recordSentOutcome records how an attempt of a deduplicated request ended. If the request may
-// have run without its caller getting the answer, the other daemons are informed: the caller
+// have run without its caller getting the response, the other daemons are informed: the caller
 // may send it again through any of them, possibly after the holder was lost.
-func (r *Router) recordSentOutcome(ctx context.Context, record sentRecord, repeated bool, a *link.Response, err error) {
-	notRun := err != nil && link.NotRun(err) || err == nil && a.NotRun
+func (r *Router) recordSentOutcome(ctx context.Context, record sentRecord, repeated bool, resp *link.Response, err error) {
+	notRun := err != nil && link.NotRun(err) || err == nil && resp.NotRun
 	unanswered := err != nil && !notRun || ctx.Err() != nil
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 		return
 	}
 	if !r.unansweredBuffer.add(time.Now(), record) {
-		r.meters.increment("sent.notPassedOn")
+		r.metrics.increment("sent.notPassedOn")
 		return
 	}
 	if link.KindOf(err) == link.ConnectionLost {
@@ -91,7 +91,7 @@
 	}
 }
 
-// unansweredSent returns the requests that recently may have run without an answer, for
+// unansweredSent returns the recent requests that may have run without a response, for
 // gossip.
 func (r *Router) unansweredSent() []*wire.Sent {
 	r.mu.Lock()
@@ -104,7 +104,7 @@
 	return out
 }
 
-// mergeSent records requests that other daemons sent without getting an answer, and forwards
+// mergeSent records requests that other daemons sent without getting a response, and forwards
 // the new ones with this daemon's gossip.
 func (r *Router) mergeSent(reported []*wire.Sent) {
 	if len(reported) == 0 {
@@ -116,15 +116,15 @@
 	for _, s := range reported {
 		firstSentAt := now.Add(-millis(s.AgoMillis))
 		if r.sent.RecordAt(now, s.Id, firstSentAt) && !r.unansweredBuffer.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
-			r.meters.increment("sent.notPassedOn")
+			r.metrics.increment("sent.notPassedOn")
 		}
 	}
 }
 
 // replyOutcomeLost replies to a request that may have run at a holder that was lost. The request
-// is not run again under this id.
+// is not run again under this ID.
 func (r *Router) replyOutcomeLost(req *request, server string) caller.Response {
-	r.meters.increment("sent.lost")
+	r.metrics.increment("sent.lost")
 	r.log.Info("request: given up, may have run", "id", req.id, "route", req.route.Name, "reason", reasonOutcomeLost, "service", req.service.Name, "key", req.key,
 		"server", server, "firstSentMillis", req.Header.Get(r.protocol.Names().FirstSent))
 	return *r.finalReply(req.id, http.StatusBadGateway, reasonOutcomeLost)
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -16,7 +16,7 @@
 	"catkinstep/io/connection/link"
 )
 
-// bookingRequest returns a non-idempotent request with an id.
+// bookingRequest returns a non-idempotent request for a key, with an ID.
 func bookingRequest(id string) *request {
 	req := lookupRequest(time.Second)
 	req.route.Idempotent, req.id = false, id
@@ -24,14 +24,14 @@
 	return req
 }
 
-// sendAndRecord records an attempt with the given end.
-func (r *Router) sendAndRecord(req *request, a *link.Response, err error) {
+// sendAndRecord records an attempt that ended with the given response or error.
+func (r *Router) sendAndRecord(req *request, resp *link.Response, err error) {
 	record, repeated := r.recordSent(req)
-	r.recordSentOutcome(context.Background(), record, repeated, a, err)
+	r.recordSentOutcome(context.Background(), record, repeated, resp, err)
 }
 
-// sendsAge reports whether the next attempt under an id has the first-sent header.
-func (r *Router) sendsAge(id string) bool {
+// sendsFirstSent reports whether the next attempt under an ID has the first-sent header.
+func (r *Router) sendsFirstSent(id string) bool {
 	req := bookingRequest(id)
 	r.recordSent(req)
 	return req.Header.Get(names.Default().FirstSent) != ""
@@ -48,8 +48,8 @@
 	Convey("A request that was sent before and may have run has the header", t, func() {
 		r := newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
-		So(r.sendsAge("a"), ShouldBeTrue)
-		So(r.sendsAge("other"), ShouldBeFalse)
+		So(r.sendsFirstSent("a"), ShouldBeTrue)
+		So(r.sendsFirstSent("other"), ShouldBeFalse)
 		otherKey := bookingRequest("a")
 		otherKey.key++
 		r.recordSent(otherKey)
@@ -61,9 +61,9 @@
 		r.sendAndRecord(bookingRequest("b"), &link.Response{NotRun: true}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
-		So(r.sendsAge("a"), ShouldBeFalse)
-		So(r.sendsAge("b"), ShouldBeFalse)
-		So(r.sendsAge("c"), ShouldBeTrue)
+		So(r.sendsFirstSent("a"), ShouldBeFalse)
+		So(r.sendsFirstSent("b"), ShouldBeFalse)
+		So(r.sendsFirstSent("c"), ShouldBeTrue)
 	})
 	Convey("A copy that did not run does not remove the record of a concurrent one that may have", t, func() {
 		r := newTestRouter()
@@ -72,7 +72,7 @@
 		otherRecord, otherRepeated := r.recordSent(broken)
 		r.recordSentOutcome(context.Background(), record, repeated, nil, errNotSent)
 		r.recordSentOutcome(context.Background(), otherRecord, otherRepeated, nil, errConnectionBroken)
-		So(r.sendsAge("a"), ShouldBeTrue)
+		So(r.sendsFirstSent("a"), ShouldBeTrue)
 	})
 	Convey("An earlier time that the caller sends is kept", t, func() {
 		r, req := newTestRouter(), bookingRequest("a")
@@ -94,7 +94,7 @@
 }
 
 // Guards against a booking that runs twice: if the refusal of a later attempt says "not run"
-// although an earlier one may have, its caller books again under a new id.
+// although an earlier one may have, its caller books again under a new ID.
 func TestRefusalAfterAnEarlierAttempt(t *testing.T) {
 	Convey("The refusal says that the booking may have run", t, func() {
 		r, last := newTestRouter(), caller.Refusal{}
@@ -117,7 +117,7 @@
 // Guards against a second run of a booking that its caller sends again through a daemon which
 // never saw it.
 func TestUnansweredRequestsAreGossiped(t *testing.T) {
-	Convey("Requests that may have run without an answer are gossiped, others are not", t, func() {
+	Convey("Requests that may have run without a response are gossiped, others are not", t, func() {
 		r, other := newTestRouter(), newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("b"), &link.Response{Status: http.StatusOK}, nil)
@@ -126,7 +126,7 @@
 		So(sent, ShouldHaveLength, 1)
 		So(sent[0].Id, ShouldEqual, bookingRequest("a").sentHash())
 		other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 900}})
-		So(other.sendsAge("a"), ShouldBeTrue)
+		So(other.sendsFirstSent("a"), ShouldBeTrue)
 		So(other.unansweredSent(), ShouldHaveLength, 1) // forwarded by the receiver
 		Convey("A receiver forwards a request only once", func() {
 			other.unansweredBuffer = piggybackBuffer[sentRecord]{}
@@ -134,7 +134,7 @@
 			So(other.unansweredSent(), ShouldBeEmpty)
 		})
 	})
-	Convey("A request whose caller left before the answer is gossiped, too", t, func() {
+	Convey("A request whose caller left before the response is gossiped, too", t, func() {
 		r := newTestRouter()
 		ctx, cancel := context.WithCancel(context.Background())
 		record, repeated := r.recordSent(bookingRequest("a"))
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -18,8 +18,9 @@
 	"catkinstep/io/connection/link"
 )
 
-// Reasons for replies that do not come from a server, in addition to those of package
-// spread. Logs and metrics use these names.
+// Reasons for replies that do not pass on a server's response. Package spread defines
+// further ones, as do the files of this package that use them. Logs and metrics use these
+// names.
 const (
 	reasonNoConfig      = "noConfiguration"
 	reasonCrashSuspect  = "crashesServers"
@@ -41,7 +42,7 @@
 	key          int // -1 if the service is not keyed
 	deadline     time.Time
 	requirements spread.Requirements
-	fingerprint  uint64     // identifies the content; the same for each attempt and resubmission
+	fingerprint  uint64     // identifies the content; the same for each attempt, and if the caller sends it again
 	arrived      int        // attempts that may have reached a server
 	unsent       int        // attempts that reached no server
 	attemptStart time.Time  // of the current attempt
@@ -51,15 +52,15 @@
 	permit       heldPermit // of the current attempt, if its server is contended
 	// permitsDenied is the number of servers for which a permit was denied.
 	permitsDenied int
-	// fallbackAnswer is an error answer from a server. The caller gets it if all further
-	// attempts fail without an answer.
-	fallbackAnswer *link.Response
+	// fallbackResponse is an error response from a server. The caller gets it if all
+	// further attempts fail without a response.
+	fallbackResponse *link.Response
 }
 
-// serve answers one request and records its status and latency.
+// serve handles one request, and records the status of the reply and the latency.
 func (r *Router) serve(ctx context.Context, callerReq caller.Request) caller.Response {
 	reply := r.handle(ctx, callerReq)
-	r.meters.observeRequest(reply.Status, time.Since(callerReq.ReadAt))
+	r.metrics.observeRequest(reply.Status, time.Since(callerReq.ReadAt))
 	return reply
 }
 
@@ -133,15 +134,15 @@
 // attempts returns the number of attempts made so far.
 func (req *request) attempts() int { return req.arrived + req.unsent }
 
-// callerReply converts a server's answer into the reply to the caller.
-func (r *Router) callerReply(req *request, a *link.Response) caller.Response {
-	header := a.Header
+// callerReply converts a server's response into the reply to the caller.
+func (r *Router) callerReply(req *request, resp *link.Response) caller.Response {
+	header := resp.Header
 	header.Del(r.protocol.Names().Load)
-	r.protocol.AddResponseHeaders(header, req.id, a.Server)
-	return caller.Response{Status: a.Status, Header: header, Body: a.Body}
+	r.protocol.AddResponseHeaders(header, req.id, resp.Server)
+	return caller.Response{Status: resp.Status, Header: header, Body: resp.Body}
 }
 
-// forwardedHeader prepares the request's header for the server: it sets the request id and
+// forwardedHeader prepares the request's header for the server: it sets the request ID and
 // the key, and removes hop-by-hop fields.
 func (r *Router) forwardedHeader(req *request) http.Header {
 	header, names := req.Header, r.protocol.Names()
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -35,10 +35,10 @@
 	})
 }
 
-// Guards against counts without service times or target latencies, by which the leader would
+// Guards against counts without service times or latency targets, by which the leader would
 // never move keys off a server.
-func TestCountsIncludeServiceTimeAndTargetLatency(t *testing.T) {
-	Convey("Each request adds its service time and its target latency", t, func() {
+func TestCountsIncludeServiceTimeAndLatencyTarget(t *testing.T) {
+	Convey("Each request adds its service time and its latency target", t, func() {
 		r := newTestRouter()
 		req := &request{service: config.Service{Name: "s", Keyed: true}, key: 7, route: config.Route{LatencyTarget: 300 * time.Millisecond},
 			requirements: spread.Requirements{Route: "look", Aim: 300 * time.Millisecond}}
@@ -52,10 +52,10 @@
 	})
 }
 
-// Guards against the refusal of a lookup whose first answer was lost: if the only holder of its
-// key were excluded, the request would be refused as if the key were moving.
+// Guards against the refusal of a lookup whose first response was lost: if the only holder of
+// its key were excluded, the request would be refused as if the key were moving.
 func TestRetryGoesToTheSameHolder(t *testing.T) {
-	Convey("The holder of a key is chosen again after a lost answer", t, func() {
+	Convey("The holder of a key is chosen again after a lost response", t, func() {
 		r := newTestRouter()
 		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		r.current.Store(r.current.Load().withTable(grant.Table{Epoch: 1, Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{
@@ -66,7 +66,7 @@
 		server, choice := r.chooseHolder(r.current.Load(), req, now)
 		So(choice.Refused(), ShouldBeFalse)
 		So(server.ID, ShouldEqual, "a")
-		later := now.Add(600 * time.Millisecond) // the request ran, but its answer was lost
+		later := now.Add(600 * time.Millisecond) // the request ran, but its response was lost
 		r.spread.End(later, server, req.requirements, req.attemptStart, spread.Failed, nil)
 		req.excludeFailed(server, nil)
 		server, choice = r.chooseHolder(r.current.Load(), req, later)
@@ -107,8 +107,8 @@
 	})
 }
 
-// Guards against a new leader that assumes the usual speed for slowed holders until they
-// answer again.
+// Guards against a new leader that assumes the usual speed for slow holders until they respond
+// again.
 func TestNewLeaderReceivesAllSlowdowns(t *testing.T) {
 	Convey("A leader gets each slowdown once, a new leader gets all of them", t, func() {
 		r := newTestRouter()
@@ -123,9 +123,9 @@
 		r.spread.End(t0, server, requirements, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
 		learnsSlowdown := func(at float64) bool {
-			r.control.loadStats = newSiteCounts()
+			r.control.clusterCounts = newClusterCounts()
 			r.control.sendCounts(atSecond(at), true)
-			return r.control.loadStats.slowdowns.Factors()["a"] > 1
+			return r.control.clusterCounts.slowdowns.Factors()["a"] > 1
 		}
 		So(learnsSlowdown(10), ShouldBeTrue)
 		So(learnsSlowdown(20), ShouldBeFalse)
@@ -143,10 +143,10 @@
 	})
 }
 
-// Guards against slowdowns of removed servers, which would be kept forever.
+// Guards against keeping the slowdowns of removed servers forever.
 func TestSlowdownsOfRemovedServersAreDropped(t *testing.T) {
 	Convey("Only servers of the fleet are kept", t, func() {
-		counts := newSiteCounts()
+		counts := newClusterCounts()
 		counts.add(&wire.Gossip{Paces: []*wire.Pace{{Server: "a", Factor: 4, Answers: 9}, {Server: "b", Factor: 4, Answers: 9}}})
 		counts.closeWindow(t0, config.Config{}, fleet.New([]fleet.Server{{ID: "a", StartMillis: 1}}))
 		So(counts.slowdowns.Factors(), ShouldContainKey, "a")
--- a/io/process/router/servers.go
+++ b/io/process/router/servers.go
@@ -10,7 +10,7 @@
 	"catkinstep/core/version/news"
 )
 
-// serverList holds the servers that the store lists, by id, and those whose entries
+// serverList holds the servers that the store lists, by ID, and those whose entries
 // vanished around an outage of the store and that are retained for a while.
 type serverList struct {
 	listed   map[string]fleet.Server
@@ -30,7 +30,7 @@
 	return &serverList{listed: map[string]fleet.Server{}, retained: map[string]retainedServer{}}
 }
 
-// serverChanges holds the ids of the servers that a batch of updates changed, by the kind
+// serverChanges holds the IDs of the servers that a batch of updates changed, by the kind
 // of change, and the newest revision of the batch.
 type serverChanges struct {
 	added, restarted, draining, removed, unusable []string
@@ -79,12 +79,12 @@
 	l.listed[next.ID] = next
 }
 
-// remove removes a server. One whose entry vanishes within retentionTime of the end of an
+// remove removes a server. One whose entry vanishes within serverRetention of the end of an
 // outage of the store is retained, since it may be alive and listed again shortly.
 func (l *serverList) remove(now time.Time, id string) {
 	s, wasListed := l.listed[id]
 	delete(l.listed, id)
-	if retainUntil := l.outageEndedAt.Add(retentionTime); wasListed && !s.Draining && now.Before(retainUntil) {
+	if retainUntil := l.outageEndedAt.Add(serverRetention); wasListed && !s.Draining && now.Before(retainUntil) {
 		l.retained[id] = retainedServer{server: s, retainUntil: retainUntil}
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 // dropExpired drops the retained servers whose entries did not reappear in time, and
-// returns their ids.
+// returns their IDs.
 func (l *serverList) dropExpired(now time.Time) []string {
 	var dropped []string
 	for id, r := range l.retained {
@@ -120,8 +120,8 @@
 	return out
 }
 
-// detectOutageEnd records the end of an outage of the store: there were no updates of the
-// servers for so long that entries may have expired although their servers are alive.
+// detectOutageEnd records the end of an outage of the store: a time without updates of the
+// servers that was so long that entries of live servers may have expired.
 func (c *control) detectOutageEnd(now time.Time, kind news.Kind, previouslyCurrentAt time.Time) {
 	if kind != news.Servers || previouslyCurrentAt.IsZero() || c.caches[kind].CurrentAt().Sub(previouslyCurrentAt) < minOutage {
 		return
@@ -148,7 +148,7 @@
 	return changes.isUrgent()
 }
 
-// maxLoggedIDs bounds the ids in a log line, since every daemon logs each change of the list.
+// maxLoggedIDs bounds the IDs in a log line, since every daemon logs each change of the list.
 const maxLoggedIDs = 6
 
 // logServerChanges logs one line for all servers that changed together.
@@ -159,17 +159,17 @@
 	ids := slices.Concat(changes.unusable, changes.removed, changes.draining, changes.restarted, changes.added)
 	c.r.log.Info("servers: changed", "came", len(changes.added), "restarted", len(changes.restarted), "draining", len(changes.draining), "gone", len(changes.removed),
 		"notUsable", len(changes.unusable), "listed", len(c.serverList.listed), "ids", ids[:min(maxLoggedIDs, len(ids))],
-		"revision", changes.revision, "age", now.Sub(c.caches[news.Servers].CurrentAt()).String(), "sinceOutage", durationSince(now, c.serverList.outageEndedAt))
+		"revision", changes.revision, "age", now.Sub(c.caches[news.Servers].CurrentAt()).String(), "sinceOutage", formatSince(now, c.serverList.outageEndedAt))
 }
 
-// logEachServerChange logs a line for each server that changed. Only the daemon that read
-// the change from the store and the leader do so.
+// logEachServerChange logs a line for each server that changed. Only two daemons do so: the
+// one that read the change from the store, and the leader.
 func (c *control) logEachServerChange(now time.Time, changes serverChanges) {
 	for _, id := range changes.unusable {
 		c.r.log.Warn("servers: invalid entry", "server", id, "revision", changes.revision)
 	}
 	for _, id := range changes.removed {
-		c.r.log.Info("servers: gone", "server", id, "revision", changes.revision, "sinceOutage", durationSince(now, c.serverList.outageEndedAt))
+		c.r.log.Info("servers: gone", "server", id, "revision", changes.revision, "sinceOutage", formatSince(now, c.serverList.outageEndedAt))
 	}
 	for _, id := range slices.Concat(changes.added, changes.restarted, changes.draining) {
 		s := c.serverList.listed[id]
@@ -178,15 +178,16 @@
 	}
 }
 
-func durationSince(now, at time.Time) string {
+// formatSince formats the time since a moment for a log line; "none" if there was none.
+func formatSince(now, at time.Time) string {
 	if at.IsZero() {
 		return "none"
 	}
 	return now.Sub(at).String()
 }
 
-// dropExpired stops using retained servers whose entries did not reappear in time.
-func (c *control) dropExpired(now time.Time) {
+// dropExpiredServers stops using retained servers whose entries did not reappear in time.
+func (c *control) dropExpiredServers(now time.Time) {
 	ids := c.serverList.dropExpired(now)
 	if len(ids) == 0 {
 		return
@@ -209,7 +210,7 @@
 }
 
 // updateFleet rebuilds the snapshot's list of servers, and drops the state of servers
-// that are no longer in it.
+// that are no longer in the list.
 func (c *control) updateFleet() {
 	out := map[string]bool{}
 	for _, it := range c.caches[news.Outs].List() {
@@ -217,7 +218,7 @@
 	}
 	f := fleet.New(c.serverList.list())
 	c.r.current.Store(c.r.current.Load().withFleet(f, out))
-	c.r.clientPool.closeUnlisted(f)
+	c.r.clientPool.closeRemoved(f)
 	c.r.mu.Lock()
 	c.r.spread.Prune(f)
 	c.r.mu.Unlock()
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -22,7 +22,7 @@
 // DaemonStatus is the status of one daemon.
 type DaemonStatus struct {
 	Name, DataCentre string
-	// Leader is the name of the daemon that grants keys, as far as this one knows.
+	// Leader is the name of the leader, the daemon that grants keys, as far as this one knows.
 	Leader string
 	// Config is the version of the configuration in force.
 	Config uint64
@@ -121,7 +121,7 @@
 func (r *Router) Ready() bool { return r.ready.Load() }
 
 // ControlBytes is the total size of the messages between daemons so far, sent and received.
-func (r *Router) ControlBytes() int64 { return r.meters.controlBytes() }
+func (r *Router) ControlBytes() int64 { return r.metrics.controlBytes() }
 
 // IsLeader reports whether this daemon is the leader, as far as it knows.
 func (r *Router) IsLeader() bool {
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -10,15 +10,15 @@
 
 const (
 	// crashThreshold is the number of lost servers after which a request is refused. One loss
-	// may be a coincidence, three in a row without an answer hardly are.
+	// may be a coincidence, but hardly three without a response in between.
 	crashThreshold = 3
 	// crashRetention is how long losses are remembered. A crashed server is back within
 	// seconds.
 	crashRetention = time.Minute
 )
 
-// fingerprintOf hashes a request's content. It does not depend on the id, which a caller may
-// change with each attempt.
+// fingerprintOf hashes a request's content. The hash does not depend on the ID, which a caller
+// may change with each attempt.
 func fingerprintOf(req *request) uint64 {
 	digest := xxhash.New()
 	for _, s := range []string{req.Method, req.Host, req.RequestURI} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// clearSuspicion clears a request that was answered: one that crashes servers never is.
+// clearSuspicion clears a request that got a response: one that crashes servers never gets any.
 func (r *Router) clearSuspicion(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +51,7 @@
 }
 
 // checkCrashSuspect reports whether a request is refused because servers were lost while it
-// ran. Below the threshold, those servers become its last resort.
+// ran. If there were fewer than crashThreshold, they become its last resort.
 func (r *Router) checkCrashSuspect(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
