--- a/io/connection/caller/caller_test.go
+++ b/io/connection/caller/caller_test.go
@@ -76,12 +76,12 @@
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/slow")
 		c.get("/quick")
-		beganAt := time.Now()
+		startedAt := time.Now()
 		_, first := c.readResponse()
 		_, second := c.readResponse()
 		So(first, ShouldEqual, "/slow")
 		So(second, ShouldEqual, "/quick")
-		So(time.Since(beganAt), ShouldBeLessThan, 2*time.Second)
+		So(time.Since(startedAt), ShouldBeLessThan, 2*time.Second)
 	})
 }
 
--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -196,8 +196,8 @@
 	c.queue <- p
 }
 
-// cancelRequests cancels the running requests of a connection that the caller has closed.
-// A connection that was idle for too long is expected to have none.
+// cancelRequests cancels the running requests of a connection that the caller has closed, or
+// that exceeded the idle timeout. In the latter case, it is expected to have none.
 func (c *conn) cancelRequests() {
 	c.mu.Lock()
 	c.closing, c.reading = true, false
--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -43,7 +43,8 @@
 	ReadAt time.Time
 }
 
-// Refusal describes a response of the router itself, which a protocol formats.
+// Refusal describes a response that comes from the daemon itself and not from a backend
+// server. A router.Protocol formats it.
 type Refusal struct {
 	ID     string
 	Status int
@@ -51,7 +52,7 @@
 	Reason string
 	// MaybeRan means that a server may have run the request.
 	MaybeRan bool
-	// RetryAfter is when a retry may succeed; zero if a retry is not useful.
+	// RetryAfter is the time after which a retry may succeed; zero if a retry is not useful.
 	RetryAfter time.Duration
 }
 
@@ -130,10 +131,10 @@
 // that connected just before the listener was closed and may not have been accepted yet.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.BeginShutdown()
-	beganAt := time.Now()
+	startedAt := time.Now()
 	for ctx.Err() == nil {
 		remaining := s.closeIdle(time.Now())
-		if remaining == 0 && time.Since(beganAt) >= firstRequestWait {
+		if remaining == 0 && time.Since(startedAt) >= firstRequestWait {
 			return
 		}
 		time.Sleep(shutdownPollInterval)
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -37,14 +37,14 @@
 	// Client sets.
 	Header http.Header
 	Body   []byte
-	// ID is the request id. A response with another id belongs to another request.
+	// ID is the request ID. A response with another ID belongs to another request.
 	ID string
 	// TimeLeft is the time until the caller's deadline. It is sent to the server.
 	TimeLeft time.Duration
-	// ControlCall marks a call of the router itself, which carries no caller's deadline.
+	// ControlCall marks a call of the daemon itself, which carries no caller's deadline.
 	ControlCall bool
 	// ExistingConnOnly sends the request on an idle connection or not at all, so that it
-	// reaches the same process of the server as the previous request.
+	// reaches the same instance of the server as the previous request.
 	ExistingConnOnly bool
 }
 
@@ -55,12 +55,12 @@
 	Body   []byte
 	// NotRun means that the server states that it did not run the request.
 	NotRun bool
-	// OutcomeLost means that a previous server may have run the request and that its
-	// outcome is lost.
+	// OutcomeLost means that a previous holder of the request's key may have run the request
+	// and that its outcome is lost.
 	OutcomeLost bool
 	// Load is the load that the server reports, or nil.
 	Load *Load
-	// Server is the id of the server instance that the request was sent to.
+	// Server is the ID of the server that the request was sent to.
 	Server string
 }
 
@@ -143,7 +143,7 @@
 }
 
 // readResponse returns the response to the request and how long the connection may stay
-// idle. It skips responses with another id, which belong to abandoned requests.
+// idle. It skips responses with another ID, which belong to abandoned requests.
 func (cl *Client) readResponse(c *conn, req Request) (*Response, time.Duration, error) {
 	for range maxStrayResponses {
 		httpResp, err := readFinalResponse(c.r, req.Method) //nolint:bodyclose // the connection is closed or reused as a whole
@@ -163,7 +163,7 @@
 			}
 			continue
 		}
-		resp := &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body, Server: cl.instance}
+		resp := &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body, Server: cl.serverID}
 		resp.NotRun = httpResp.Header.Get(cl.names.NotRun) != "" || httpResp.StatusCode == http.StatusMisdirectedRequest
 		resp.OutcomeLost = cl.names.OutcomeLost != "" && httpResp.Header.Get(cl.names.OutcomeLost) != ""
 		if resp.Load = parseLoad(httpResp.Header.Get(cl.names.Load)); resp.Load != nil {
@@ -213,7 +213,7 @@
 	if !req.ControlCall {
 		b.WriteString(cl.names.Deadline + ": " + strconv.FormatInt(max(1, req.TimeLeft.Milliseconds()), 10) + "\r\n")
 	}
-	b.WriteString(cl.names.Instance + ": " + cl.instance + "\r\n")
+	b.WriteString(cl.names.Instance + ": " + cl.serverID + "\r\n")
 	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
--- a/io/connection/link/error.go
+++ b/io/connection/link/error.go
@@ -13,7 +13,7 @@
 const (
 	ConnectionRefused Kind = "refused" // the address refuses connections
 	NotSent           Kind = "notSent" // no byte of the request was written
-	ConnectFailed     Kind = "noWay"   // no connection could be established in time
+	ConnectFailed     Kind = "noWay"   // no connection could be established, for another reason
 	ConnectionLost    Kind = "unsure"  // the connection broke before the response header was complete
 	InvalidResponse   Kind = "cut"     // the response is incomplete, malformed or too large, or belongs to another request
 	ContextDone       Kind = "late"    // the context ended before the response was complete
--- a/io/connection/link/link.go
+++ b/io/connection/link/link.go
@@ -37,7 +37,7 @@
 // connections to it. It is safe for concurrent use.
 type Client struct {
 	address  string
-	instance string
+	serverID string
 	names    names.Names
 	maxIdle  int
 
@@ -53,10 +53,11 @@
 	reused        bool // it served an earlier request
 }
 
-// New returns a Client for the server instance at an address. It keeps up to maxIdle idle
-// connections.
-func New(address, instance string, n names.Names, maxIdle int) *Client {
-	return &Client{address: address, instance: instance, names: n, maxIdle: maxIdle}
+// New returns a Client for the server instance at an address. It sends serverID in the
+// instance header, by which any other server recognises that a request is not meant for it.
+// It keeps up to maxIdle idle connections.
+func New(address, serverID string, n names.Names, maxIdle int) *Client {
+	return &Client{address: address, serverID: serverID, names: n, maxIdle: maxIdle}
 }
 
 // Close closes the idle connections. Those in use are closed after their requests.
--- a/io/connection/link/link_test.go
+++ b/io/connection/link/link_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// respondWith returns a responder that writes a text, with ID replaced by the request's id.
+// respondWith returns a responder that writes a text, with ID replaced by the request's ID.
 func respondWith(text string) responder {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -96,10 +96,10 @@
 		s := startServer(t, respondWith(completeResponse))
 		client := s.newClient()
 		for i := range 3 {
-			a, err := do(client, fmt.Sprint("id", i))
+			resp, err := do(client, fmt.Sprint("id", i))
 			So(err, ShouldBeNil)
-			So(a.Status, ShouldEqual, 200)
-			So(string(a.Body), ShouldEqual, "ok")
+			So(resp.Status, ShouldEqual, 200)
+			So(string(resp.Body), ShouldEqual, "ok")
 		}
 		So(s.conns.Load(), ShouldEqual, 1)
 	})
@@ -116,22 +116,22 @@
 	})
 	Convey("A body without a length ends when the connection is closed", t, func() {
 		s := startServer(t, thenClose(respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: ID\r\n\r\nto the end")))
-		a, err := do(s.newClient(), "1")
+		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
-		So(string(a.Body), ShouldEqual, "to the end")
+		So(string(resp.Body), ShouldEqual, "to the end")
 	})
 	Convey("Interim responses are skipped", t, func() {
 		s := startServer(t, respondWith("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"+completeResponse))
-		a, err := do(s.newClient(), "1")
+		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
-		So(a.Status, ShouldEqual, 200)
+		So(resp.Status, ShouldEqual, 200)
 	})
 	Convey("A refusal marked as not run is recognised, and the load is parsed", t, func() {
 		s := startServer(t, respondWith("HTTP/1.1 503 No\r\nCatkinstep-Request-Id: ID\r\nCatkinstep-Not-Run: 1\r\nCatkinstep-Load: 3,2,3,100\r\nContent-Length: 0\r\n\r\n"))
-		a, err := do(s.newClient(), "1")
+		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
-		So(a.NotRun, ShouldBeTrue)
-		So(a.Load.Waiting, ShouldEqual, 2)
+		So(resp.NotRun, ShouldBeTrue)
+		So(resp.Load.Waiting, ShouldEqual, 2)
 	})
 }
 
@@ -162,16 +162,16 @@
 		client := s.newClient()
 		_, err := do(client, "1")
 		So(err, ShouldBeNil)
-		a, err := do(client, "2")
+		resp, err := do(client, "2")
 		So(err, ShouldBeNil)
-		So(string(a.Body), ShouldEqual, "ok")
+		So(string(resp.Body), ShouldEqual, "ok")
 		So(s.conns.Load(), ShouldEqual, 2)
 	})
-	Convey("A response with the id of another request is skipped", t, func() {
+	Convey("A response with the ID of another request is skipped", t, func() {
 		s := startServer(t, respondWith("HTTP/1.1 200 OK\r\nCatkinstep-Request-Id: someone\r\nContent-Length: 5\r\n\r\nother"+completeResponse))
-		a, err := do(s.newClient(), "1")
+		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
-		So(string(a.Body), ShouldEqual, "ok")
+		So(string(resp.Body), ShouldEqual, "ok")
 	})
 	Convey("A connection is not reused if the response comes before a long request body is written", t, func() {
 		early := func(c net.Conn, _ *http.Request) bool {
@@ -181,9 +181,9 @@
 		}
 		s := startServer(t, early, respondWith(completeResponse))
 		client := s.newClient()
-		a, err := client.Do(context.Background(), Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "1", TimeLeft: time.Second, Body: make([]byte, 8<<20)})
+		resp, err := client.Do(context.Background(), Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "1", TimeLeft: time.Second, Body: make([]byte, 8<<20)})
 		So(err, ShouldBeNil)
-		So(a.Status, ShouldEqual, 413)
+		So(resp.Status, ShouldEqual, 413)
 		So(client.idleConns, ShouldBeEmpty)
 	})
 }
--- a/io/connection/mesh/mesh.go
+++ b/io/connection/mesh/mesh.go
@@ -64,9 +64,13 @@
 	return m, nil
 }
 
-// Call sends a call on a new stream and waits for its reply until the context ends.
+// Call sends a call on a stream of its own and waits for its reply until the context ends.
+// Calls do not wait for each other, so Call suits large or slow replies; for short calls that
+// are made often, CallShared costs less. If there is no reply and nothing else was received on
+// the connection in the second half of the wait, Call drops the connection, and the next call
+// opens a new one.
 func (m *Mesh) Call(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
-	beganAt := time.Now()
+	startedAt := time.Now()
 	mc, err := m.pool.get(ctx, address)
 	if err != nil {
 		return nil, err
@@ -86,7 +90,7 @@
 	reply := &wire.Reply{}
 	if err := readMessage(bufio.NewReaderSize(stream, readBufferSize), reply); err != nil {
 		// Bytes from the first half of the wait do not show that the connection still works.
-		if mc.IsClosed() || mc.silentSince(beganAt.Add(time.Since(beganAt)/2)) {
+		if mc.IsClosed() || mc.silentSince(startedAt.Add(time.Since(startedAt)/2)) {
 			m.pool.drop(address, mc)
 		}
 		return nil, &Error{Op: "call", Kind: OutcomeUnknown, Err: errors.Join(err, ctx.Err())}
--- a/io/connection/mesh/mesh_test.go
+++ b/io/connection/mesh/mesh_test.go
@@ -146,11 +146,11 @@
 		mc, err := newMuxConn(local, yamux.Client)
 		So(err, ShouldBeNil)
 		defer mc.Close() //nolint:errcheck // the test is over
-		beganAt := time.Now()
-		So(mc.silentSince(beganAt), ShouldBeTrue)
+		startedAt := time.Now()
+		So(mc.silentSince(startedAt), ShouldBeTrue)
 		_, err = remote.Write([]byte{0})
 		So(err, ShouldBeNil)
-		for mc.silentSince(beganAt) {
+		for mc.silentSince(startedAt) {
 			time.Sleep(time.Millisecond)
 		}
 		So(mc.IsClosed(), ShouldBeFalse)
--- a/io/connection/mesh/muxconn.go
+++ b/io/connection/mesh/muxconn.go
@@ -25,8 +25,8 @@
 // with one processor, that loop may never run: a stopping daemon used all processor time
 // this way and never exited. If the connection is closed first, the receive loop is what
 // ends the session. The keep-alive of yamux is disabled because it closes the session
-// itself. Instead, a call that times out drops a connection on which nothing was received
-// meanwhile, and the next call opens a new one.
+// itself. Instead, Mesh.Call drops a connection on which nothing was received during the second
+// half of a call without a reply, and the next call opens a new one.
 type muxConn struct {
 	*yamux.Session
 	conn         *frameConn
@@ -61,7 +61,7 @@
 }
 
 // isDataHeader reports whether p is the header of a data frame with a body. A header
-// consists of the version, the type (0 for data), the flags, the stream id and the length.
+// consists of the version, the type (0 for data), the flags, the stream ID and the length.
 func isDataHeader(p []byte) bool {
 	const headerSize, lengthOffset, dataFrameType = 12, 8, 0
 	return len(p) == headerSize && p[1] == dataFrameType && binary.BigEndian.Uint32(p[lengthOffset:]) > 0
--- a/io/connection/mesh/pool.go
+++ b/io/connection/mesh/pool.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// session is what a pool manages.
+// session is the part of a session that a pool needs.
 type session interface {
 	comparable
 	IsClosed() bool
 	Close() error
 }
 
-// pool keeps one open session for each address. Concurrent callers share the attempt to
+// pool keeps one open session for each address. Concurrent calls of get share the attempt to
 // open it.
 type pool[S session] struct {
 	open func(ctx context.Context, address string) (S, error)
@@ -28,6 +28,8 @@
 	err   error
 }
 
+// get returns the open session for an address, and opens one if there is none. If the context
+// ends first, get returns an error and the attempt to open the session continues.
 func (p *pool[S]) get(ctx context.Context, address string) (S, error) {
 	var zero S
 	p.mu.Lock()
@@ -60,8 +62,8 @@
 	}
 }
 
-// openEntry opens a session. It does not use the first caller's context, since other
-// callers may be waiting for the session too.
+// openEntry opens a session. It does not use the context of the first call of get, since
+// other calls may be waiting for the session too.
 func (p *pool[S]) openEntry(address string, e *poolEntry[S]) {
 	e.value, e.err = p.open(context.Background(), address)
 	p.mu.Lock()
@@ -73,6 +75,7 @@
 	}
 }
 
+// drop closes a session, and removes it from the pool if the pool still holds it.
 func (p *pool[S]) drop(address string, s S) {
 	p.mu.Lock()
 	if e, ok := p.entries[address]; ok {
@@ -88,6 +91,7 @@
 	_ = s.Close()
 }
 
+// close closes all sessions. openEntry closes those that are still being opened.
 func (p *pool[S]) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/connection/mesh/shared.go
+++ b/io/connection/mesh/shared.go
@@ -21,7 +21,8 @@
 func newSharedStream() sharedStream { return sharedStream{semaphore: make(chan struct{}, 1)} }
 
 // CallShared sends a short call on the shared stream and waits for its reply until the
-// context ends.
+// context ends. It costs less than Call, but calls to the same daemon run one at a time, each
+// after the reply to the previous one. Unlike Call, it does not drop a silent connection.
 func (m *Mesh) CallShared(ctx context.Context, address string, call *wire.Call) (*wire.Reply, error) {
 	reply := &wire.Reply{}
 	if err := m.exchangeShared(ctx, address, call, reply); err != nil {
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -126,13 +126,13 @@
 }
 
 func (h *handler) status(w http.ResponseWriter, r bunrouter.Request) error {
-	config, version, err := current(r.Context(), h.daemon.Platform())
+	stored, version, err := readSite(r.Context(), h.daemon.Platform())
 	if err != nil {
 		return writeError(w, err)
 	}
-	s := Status{AcceptedVersion: version, Preset: config.ActivePreset().Name, Change: config.Change, Exclusions: config.Exclusions, InForceEverywhere: true}
-	fleet := h.daemon.ClusterStatus(r.Context())
-	for _, d := range fleet.Daemons {
+	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, Change: stored.Change, Exclusions: stored.Exclusions, InForceEverywhere: true}
+	cluster := h.daemon.ClusterStatus(r.Context())
+	for _, d := range cluster.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, ConfigVersion: d.Config}
 		switch {
 		case row.ConfigVersion >= s.AcceptedVersion:
@@ -144,7 +144,7 @@
 		s.InForceEverywhere = s.InForceEverywhere && row.BehindReason == ""
 		s.Daemons = append(s.Daemons, row)
 	}
-	for _, address := range fleet.Missing {
+	for _, address := range cluster.Missing {
 		s.InForceEverywhere = false
 		s.Daemons = append(s.Daemons, DaemonStatus{Name: address, BehindReason: "it does not answer: lost, or cut off"})
 	}
@@ -152,18 +152,18 @@
 }
 
 func (h *handler) burn(w http.ResponseWriter, r bunrouter.Request) error {
-	config, _, err := current(r.Context(), h.daemon.Platform())
+	stored, _, err := readSite(r.Context(), h.daemon.Platform())
 	if err != nil {
 		return writeError(w, err)
 	}
-	fleet := h.daemon.ClusterStatus(r.Context())
-	report := BurnReport{Missing: fleet.Missing}
+	cluster := h.daemon.ClusterStatus(r.Context())
+	report := BurnReport{Missing: cluster.Missing}
 	var counts []burn.Counts
-	for _, d := range fleet.Daemons {
+	for _, d := range cluster.Daemons {
 		counts = append(counts, d.Counts)
 	}
 	var objectives []burn.Objective
-	for _, s := range config.Services {
+	for _, s := range stored.Services {
 		objectives = append(objectives, burn.Objective{Service: s.Name, AnsweredShare: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
 	}
 	report.Rows = burn.Rates(objectives, counts)
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -17,9 +17,9 @@
 	Write(ctx context.Context, name string, ifVersion uint64, value []byte) (*plat.Object, error)
 }
 
-// lostReplyTimeout limits how long Change tries to find out whether a write without a reply
-// took effect.
-const lostReplyTimeout = 3 * time.Second
+// lostResponseTimeout limits how long Change tries to find out whether a write without a
+// response took effect.
+const lostResponseTimeout = 3 * time.Second
 
 // AcceptedChange is a change of the configuration with the version that resulted from it.
 type AcceptedChange struct {
@@ -28,8 +28,8 @@
 	Preset  string `json:"preset"`
 }
 
-// current reads the stored configuration. Version 0 means that there is none.
-func current(ctx context.Context, p Platform) (s site.Site, version uint64, err error) {
+// readSite reads the stored configuration. Version 0 means that there is none.
+func readSite(ctx context.Context, p Platform) (s site.Site, version uint64, err error) {
 	object, err := p.Read(ctx, native.SiteObject)
 	if err != nil {
 		return s, 0, &Error{Op: "read", Kind: Unreachable, Err: err}
@@ -47,7 +47,7 @@
 // If ifVersion is not 0, the configuration must also be at that version, which is the one
 // that the operator has seen.
 func Change(ctx context.Context, p Platform, ifVersion uint64, change func(site.Site) (site.Site, error)) (AcceptedChange, error) {
-	previous, version, err := current(ctx, p)
+	previous, version, err := readSite(ctx, p)
 	if err != nil {
 		return AcceptedChange{}, err
 	}
@@ -70,11 +70,11 @@
 	case plat.IsKind(err, plat.Conflict):
 		return resolveConflict(ctx, p, next)
 	}
-	return resolveLostReply(ctx, p, next, version, err)
+	return resolveLostResponse(ctx, p, next, version, err)
 }
 
-// resolveConflict returns an error that names the change that caused the conflict. If that is
-// our own write, of which the reply was lost, the change is accepted.
+// resolveConflict returns an error that names the change that caused the conflict. If the
+// conflict is with the change's own write, whose response was lost, the change is accepted.
 func resolveConflict(ctx context.Context, p Platform, next site.Site) (AcceptedChange, error) {
 	stored, err := p.Read(ctx, native.SiteObject)
 	if err != nil || stored == nil {
@@ -90,11 +90,11 @@
 	return AcceptedChange{}, newConflictError(latest, stored.Version)
 }
 
-// resolveLostReply finds out whether a write without a reply took effect. It reads the
+// resolveLostResponse finds out whether a write without a response took effect. It reads the
 // configuration and recognises its own write by the write ID. It does not repeat the write,
 // since that could undo a change that somebody made in between.
-func resolveLostReply(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (AcceptedChange, error) {
-	ctx, cancel := context.WithTimeout(ctx, lostReplyTimeout)
+func resolveLostResponse(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (AcceptedChange, error) {
+	ctx, cancel := context.WithTimeout(ctx, lostResponseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		stored, err := p.Read(ctx, native.SiteObject)
@@ -109,10 +109,10 @@
 		if latest.WriteID == next.WriteID {
 			return newAcceptedChange(next, stored.Version), nil
 		}
-		return AcceptedChange{}, &Error{Op: "change", Kind: Unsure,
-			Err: fmt.Errorf("no reply to the write, and the configuration is now at %q (version %d), which may include this change; check the status", latest.Change, stored.Version)}
+		return AcceptedChange{}, &Error{Op: "change", Kind: OutcomeUnknown,
+			Err: fmt.Errorf("no response to the write, and the configuration is now at %q (version %d), which may include this change; check the status", latest.Change, stored.Version)}
 	}
-	return AcceptedChange{}, &Error{Op: "change", Kind: Unsure, Err: fmt.Errorf("the change may still take effect; check the status before trying again: %w", cause)}
+	return AcceptedChange{}, &Error{Op: "change", Kind: OutcomeUnknown, Err: fmt.Errorf("the change may still take effect; check the status before trying again: %w", cause)}
 }
 
 func newConflictError(s site.Site, version uint64) error {
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -46,7 +46,7 @@
 					switch {
 					case err == nil:
 						accepted = append(accepted, host)
-					case Is(err, Conflict) && strings.Contains(err.Error(), "out 10."):
+					case IsKind(err, Conflict) && strings.Contains(err.Error(), "out 10."):
 						refused++
 					default:
 						t.Errorf("neither accepted nor refused: %v", err)
@@ -68,8 +68,8 @@
 }
 
 // Guards against a change that is reported as failed although it was stored.
-func TestLostReplyAndStaleVersion(t *testing.T) {
-	Convey("An operator's own write is recognised after a lost reply", t, func() {
+func TestLostResponseAndStaleVersion(t *testing.T) {
+	Convey("An operator's own write is recognised after a lost response", t, func() {
 		platform, c, stop := newTestPlatform()
 		defer stop()
 		platform.SetFaults(store.Faults{LoseReplies: 1})
@@ -83,7 +83,7 @@
 		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
 		_, err = Change(context.Background(), c, a.Version-1, func(v site.Site) (site.Site, error) { return v.WithPreset("ordinary") })
-		So(Is(err, Conflict), ShouldBeTrue)
+		So(IsKind(err, Conflict), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "preset use peak")
 	})
 }
--- a/io/process/admin/doc.go
+++ b/io/process/admin/doc.go
@@ -1,5 +1,5 @@
 // Package admin implements the operators' HTTP interface of a daemon: changes of the
-// configuration, which are conditional updates of one platform object, the status of all
+// configuration, which is a site.Site and is stored as one platform object, the status of all
 // daemons, the report on error budgets (the burn report), and the daemon's metrics.
 //
 // # Usage
--- a/io/process/admin/error.go
+++ b/io/process/admin/error.go
@@ -10,11 +10,11 @@
 
 // Kinds of errors.
 const (
-	Conflict    Kind = "conflict"    // another change was made first
-	Invalid     Kind = "invalid"     // the change is not valid
-	Unsure      Kind = "unsure"      // it is unknown whether the change took effect
-	Unreachable Kind = "unreachable" // the platform or the daemon does not answer
-	Denied      Kind = "denied"      // the token is missing or wrong
+	Conflict       Kind = "conflict"    // another change was made first
+	Invalid        Kind = "invalid"     // the change is not valid
+	OutcomeUnknown Kind = "unsure"      // it is unknown whether the change took effect
+	Unreachable    Kind = "unreachable" // the platform or the daemon does not answer
+	Denied         Kind = "denied"      // the token is missing or wrong
 )
 
 // Error is the error type of this package.
@@ -30,8 +30,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Is reports whether an error is an *Error of this package with the given kind.
-func Is(err error, k Kind) bool {
+// IsKind reports whether an error is an *Error of a kind.
+func IsKind(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
 }
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -25,8 +25,8 @@
 )
 
 // testSite is a small site on loopback addresses: the platform stand-in, daemons as
-// "catkinstep serve" runs them, and two servers each of an unkeyed service (intake), a keyed
-// service (workshop) and a service whose keys are the request IDs (labels).
+// "catkinstep serve" runs them, and two servers for each of three services. The service intake
+// is unkeyed, workshop is keyed, and labels uses the request IDs as keys.
 type testSite struct {
 	t       *testing.T
 	store   *store.Store
@@ -127,7 +127,8 @@
 	return out
 }
 
-func (ts *testSite) settlesInTime(d *native.Daemon) bool {
+// becomesReady reports whether a daemon is ready, and all key ranges are open, in time.
+func (ts *testSite) becomesReady(d *native.Daemon) bool {
 	return eventually(8*time.Second, func() bool { return d.Ready() && d.AllRangesOpen() })
 }
 
@@ -144,8 +145,8 @@
 	Convey("Callers reach the servers of a site, and errors have a code", t, func() {
 		ts := newTestSite(t, 2)
 		d := ts.daemons[0]
-		So(ts.settlesInTime(d), ShouldBeTrue)
-		So(ts.settlesInTime(ts.daemons[1]), ShouldBeTrue)
+		So(ts.becomesReady(d), ShouldBeTrue)
+		So(ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		a := ts.send(d, http.MethodGet, "/intake/parcels/a%2Fb?c=1", "")
 		So(a.status, ShouldEqual, http.StatusOK)
 		So(a.header.Get("Catkinstep-Request-Id"), ShouldEqual, a.answer.ID)
@@ -189,7 +190,7 @@
 	Convey("Its keys are served elsewhere, and no request reaches it", t, func() {
 		ts := newTestSite(t, 2)
 		d := ts.daemons[0]
-		So(ts.settlesInTime(d), ShouldBeTrue)
+		So(ts.becomesReady(d), ShouldBeTrue)
 		before := ts.send(d, http.MethodGet, "/workshop/benches/7", "")
 		So(before.status, ShouldEqual, http.StatusOK)
 		excluded := before.answer.Server
@@ -212,7 +213,7 @@
 	Convey("Its keys are served elsewhere once its grants have expired, and stay available", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
-		So(ts.settlesInTime(d), ShouldBeTrue)
+		So(ts.becomesReady(d), ShouldBeTrue)
 		failed := ts.send(d, http.MethodGet, "/workshop/benches/7", "").answer.Server
 		So(ts.servers[failed], ShouldNotBeNil)
 		ts.servers[failed].Stop()
@@ -232,7 +233,7 @@
 	Convey("A POST runs once and its outcome is reported as unknown, while a GET is retried", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
-		So(ts.settlesInTime(d), ShouldBeTrue)
+		So(ts.becomesReady(d), ShouldBeTrue)
 		for _, v := range ts.servers {
 			v.SetFaults(server.Faults{CutAnswers: 1})
 		}
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -45,12 +45,13 @@
 	Fence      uint64 `json:"fence"`
 	HoldMillis int64  `json:"holdMillis,omitempty"`
 	Handover   string `json:"handover,omitempty"`
-	// Origin is set for grants only. It determines what the server can know about the keys.
+	// Origin is set for grants only. It determines what the server can know about earlier
+	// requests for the keys.
 	Origin grant.Origin `json:"origin,omitempty"`
 }
 
-// ErrorBody is the JSON body of every response that the daemon itself makes instead of a
-// backend server.
+// ErrorBody is the JSON body of every response that comes from the daemon itself and not from
+// a backend server.
 type ErrorBody struct {
 	// Code identifies the error. Codes are stable; docs/ERRORS.md lists them.
 	Code string `json:"code"`
@@ -68,26 +69,27 @@
 // Names returns the names of the headers between daemons and backend servers.
 func (Protocol) Names() names.Names { return names.Default() }
 
-// Grant builds the call that grants a range of keys to a server.
+// Grant returns the request that grants a range of keys to a server.
 func (Protocol) Grant(c grant.Call) link.Request {
 	return newPost(GrantPath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence, HoldMillis: c.Hold.Milliseconds(), Handover: c.Handover, Origin: c.Origin})
 }
 
-// Release builds the call that asks a server to release a range of keys.
+// Release returns the request that asks a server to release a range of keys.
 func (Protocol) Release(c grant.Call) link.Request {
 	return newPost(ReleasePath, c.Address, KeyRangeRequest{From: c.From, To: c.To, Fence: c.Fence})
 }
 
-// Result classifies the response to a grant or a release.
-func (Protocol) Result(a *link.Response) (result grant.Result, handover string) {
+// Result interprets the response to a grant or a release. The response to a release also
+// contains the handover.
+func (Protocol) Result(resp *link.Response) (result grant.Result, handover string) {
 	switch {
-	case a.Status == http.StatusOK:
-		return grant.Done, a.Header.Get(names.Default().Handover)
-	case a.Status == http.StatusConflict:
+	case resp.Status == http.StatusOK:
+		return grant.Done, resp.Header.Get(names.Default().Handover)
+	case resp.Status == http.StatusConflict:
 		return grant.Fenced, ""
-	case a.Status == http.StatusMisdirectedRequest:
+	case resp.Status == http.StatusMisdirectedRequest:
 		return grant.Ended, ""
-	case a.NotRun:
+	case resp.NotRun:
 		return grant.NotSent, ""
 	}
 	return grant.Unsure, ""
@@ -110,7 +112,7 @@
 	return rand.Text()
 }
 
-// Patience returns how long the caller waits for the response, if the request says so.
+// CallerTimeout returns how long the caller waits for the response, if the request says so.
 func (Protocol) CallerTimeout(h http.Header) (time.Duration, bool) {
 	d, err := time.ParseDuration(h.Get(HeaderTimeout))
 	return d, err == nil && d > 0
@@ -138,14 +140,14 @@
 	return segments[n-1]
 }
 
-// Answered adds the daemon's headers to the response of a backend server.
+// AddResponseHeaders adds the daemon's headers to the response of a backend server.
 func (Protocol) AddResponseHeaders(h http.Header, id, server string) {
 	h.Set(names.Default().ID, id)
 	h.Set(HeaderOutcome, OutcomeAnswered)
 	h.Set(HeaderServer, server)
 }
 
-// Refused builds the response to a request that no backend server answered.
+// RefusalResponse builds the response to a request that no backend server answered.
 func (Protocol) RefusalResponse(refusal caller.Refusal) (http.Header, []byte) {
 	errBody := ErrorBody{Code: refusal.Reason, Outcome: OutcomeNotRun, RequestID: refusal.ID}
 	if refusal.MaybeRan {
--- a/io/process/native/retry_test.go
+++ b/io/process/native/retry_test.go
@@ -51,7 +51,7 @@
 	Convey("With a different key it is a different booking; with the same key it is refused", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
-		So(ts.settlesInTime(d), ShouldBeTrue)
+		So(ts.becomesReady(d), ShouldBeTrue)
 		So(ts.sendBooking(d).status, ShouldEqual, http.StatusOK)
 		for key := range 8 {
 			path := fmt.Sprintf("/workshop/benches/other-%d", key)
@@ -68,7 +68,7 @@
 func TestRetriedBooking(t *testing.T) {
 	Convey("The holder of its key runs it once and answers each retry, through any daemon", t, func() {
 		ts := newTestSite(t, 2)
-		So(ts.settlesInTime(ts.daemons[0]) && ts.settlesInTime(ts.daemons[1]), ShouldBeTrue)
+		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		holder := ts.sendBookingAndLoseAnswer(ts.daemons[0])
 		for range 3 {
 			for _, d := range ts.daemons {
@@ -91,12 +91,12 @@
 	})
 }
 
-// Guards against a booking that runs twice when it is retried, in a service without keys of its
-// own.
+// Guards against a booking that runs twice when it is retried, in a service whose keys are the
+// request IDs.
 func TestRetriedBookingWithIDAsKey(t *testing.T) {
 	Convey("The ID is the key: the same server answers the retry, and other servers get other bookings", t, func() {
 		ts := newTestSite(t, 2)
-		So(ts.settlesInTime(ts.daemons[0]) && ts.settlesInTime(ts.daemons[1]), ShouldBeTrue)
+		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		for _, v := range ts.servers {
 			v.SetFaults(server.Faults{CutAnswers: 1})
 		}
@@ -124,7 +124,7 @@
 func TestRetriedBookingAfterHolderLoss(t *testing.T) {
 	Convey("The retry is refused, other bookings run", t, func() {
 		ts := newTestSite(t, 2)
-		So(ts.settlesInTime(ts.daemons[0]) && ts.settlesInTime(ts.daemons[1]), ShouldBeTrue)
+		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		failed := ts.sendBookingAndLoseAnswer(ts.daemons[0])
 		ts.servers[failed].Stop()
 		for _, d := range ts.daemons {
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -66,12 +66,13 @@
 }
 
 const (
-	// Requests that must not run twice come before those that the caller can simply retry.
+	// The priorities of routes: requests that must not run twice come before those that the
+	// caller can simply retry.
 	nonIdempotentPriority = 1
 	idempotentPriority    = 2
 	// latencyTargetFactor is the latency target of a route, as a multiple of the latency
-	// threshold of its service. It is above 1 because a late answer still helps the caller,
-	// unlike on a platform that specifies what late answers cost.
+	// threshold of its service. It is above 1 because a late response still helps the
+	// caller, unlike on a platform that specifies what late responses cost.
 	latencyTargetFactor = 4
 )
 
@@ -79,8 +80,8 @@
 	return latencyTargetFactor * svc.Objectives.LatencyThreshold
 }
 
-// serversOf lists the servers of a site. They do not register themselves, so only their
-// responses tell two instances at the same address apart.
+// serversOf lists the servers of a site. They do not register themselves, so that only their
+// responses show whether two instances have run at the same address.
 func serversOf(s site.Site) []fleet.Server {
 	var servers []fleet.Server
 	for _, d := range s.DataCentres {
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -89,8 +89,8 @@
 	return &news.Error{Op: op, Kind: news.Unreachable, Err: err}
 }
 
-// newDelta converts changed objects to a delta of a kind. If the site changed, the delta
-// replaces all items of the kind.
+// newDelta converts changed objects to a delta of a kind. If the kind is derived from the site
+// and the site changed, the delta replaces all items of the kind.
 func newDelta(kind news.Kind, c plat.Changes) (news.Delta, error) {
 	d := news.Delta{Kind: kind, Through: c.Revision}
 	for _, o := range c.Objects {
--- a/io/process/setup/setup.go
+++ b/io/process/setup/setup.go
@@ -57,7 +57,7 @@
 	ColdFactor float64
 	ColdSlack  float64
 	// RetryShare and RetryBurst limit the retries of all daemons together: to a share of the
-	// requests, plus a fixed number in each window.
+	// requests in the long run, and to a fixed number at once.
 	RetryShare float64
 	RetryBurst float64
 	// MaxGrantTTL is the longest time for which a grant is valid.
