--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -137,6 +137,7 @@
 	return resp, err
 }
 
+// loadReport returns the load that a server reported with its response, or nil.
 func loadReport(resp *link.Response) *spread.Report {
 	if resp == nil || resp.Load == nil {
 		return nil
@@ -144,6 +145,7 @@
 	return &spread.Report{Running: resp.Load.Running, Waiting: resp.Load.Waiting, Slots: resp.Load.Slots, Bytes: resp.Load.Bytes, Slowdown: resp.Load.Slowdown}
 }
 
+// attemptOutcome classifies the end of an attempt for the choice of servers.
 func attemptOutcome(ctx context.Context, resp *link.Response, err error) spread.Outcome {
 	switch {
 	case err != nil && link.KindOf(err) == link.ConnectionRefused:
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -47,7 +47,7 @@
 	urgentChangeMsg struct{}
 	// statusMsg requests the daemon's status.
 	statusMsg struct {
-		reply chan daemonStatus
+		reply chan ownStatus
 	}
 	// connectionRefusedMsg reports that a daemon's address refused a connection.
 	connectionRefusedMsg struct{ address string }
@@ -55,12 +55,14 @@
 	callUnansweredMsg struct{ address string }
 	// gossipEndedMsg reports that a gossip call has ended, with or without a reply.
 	gossipEndedMsg struct{ address string }
-	keeperMsg      struct{ msg keeper.Msg }
+	// keeperMsg carries a message to the keeper. It is dropped unless this daemon leads.
+	keeperMsg struct{ msg keeper.Msg }
 	// leadTakenMsg reports that this daemon has become the leader.
 	leadTakenMsg struct {
 		table, previous grant.Table
 		revision        uint64
 	}
+	// leadNotTakenMsg reports that an attempt to become the leader failed.
 	leadNotTakenMsg struct{}
 	settingsMsg     struct{ settings setup.Settings }
 )
@@ -72,7 +74,8 @@
 	knownRevisions map[news.Kind]*atomic.Uint64
 	// isReader is set while this daemon reads the store on behalf of the others.
 	isReader atomic.Bool
-	// localRank is the number of live daemons of the data centre that rank before this one.
+	// localRank is the number of live daemons of the data centre that rank before this one as
+	// readers of the store.
 	localRank atomic.Int64
 	// isStandbyReader is set while this daemon reads the kinds of objects that cannot
 	// wait, in addition to the leader.
--- a/io/process/router/error.go
+++ b/io/process/router/error.go
@@ -8,7 +8,7 @@
 // Kinds of errors.
 const (
 	Address Kind = "address" // an address cannot be listened on
-	Stopped Kind = "stopped" // a server ended unexpectedly
+	Stopped Kind = "stopped" // the HTTP server for health checks or metrics ended unexpectedly
 )
 
 // Error is the error type of this package.
--- a/io/process/router/http.go
+++ b/io/process/router/http.go
@@ -15,13 +15,13 @@
 	var servers []io.Closer
 	for _, l := range []struct {
 		address, path string
-		answer        bunrouter.HandlerFunc
+		handler       bunrouter.HandlerFunc
 	}{{r.settings.ReadyAddress, "/*path", r.ServeReady}, {r.settings.MetricsAddress, "/metrics", r.ServeMetrics}} {
 		if l.address == "" {
 			continue // served elsewhere
 		}
 		mux := bunrouter.New()
-		mux.GET(l.path, l.answer)
+		mux.GET(l.path, l.handler)
 		s, err := r.startHTTPServer(l.address, mux)
 		if err != nil {
 			return servers, err
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -108,6 +108,7 @@
 	}
 }
 
+// execute executes a command of the keeper. The results of calls come back as messages.
 func (c *control) execute(now time.Time, cmd keeper.Cmd) {
 	switch cmd := cmd.(type) {
 	case keeper.GrantCmd:
@@ -132,6 +133,8 @@
 	}
 }
 
+// sendGrant sends a grant to a server, unless it is too late for it, and reports the result to
+// the keeper. A renewal only uses an existing connection, so that it cannot reach a new instance.
 func (r *Router) sendGrant(cmd keeper.GrantCmd) {
 	outcome := keeper.GrantResultMsg{Cmd: cmd, Result: grant.NotSent}
 	client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forGrants})
@@ -147,6 +150,8 @@
 	r.post(keeperMsg{msg: outcome})
 }
 
+// sendRelease asks a server for a release, unless it is too late for it, and reports the result
+// to the keeper.
 func (r *Router) sendRelease(cmd keeper.ReleaseCmd) {
 	outcome := keeper.ReleaseResultMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.SendBefore) {
@@ -229,6 +234,7 @@
 	return item, nil
 }
 
+// postStoredTable passes a table from the store to the keeper.
 func (r *Router) postStoredTable(item news.Item, requestedAt time.Time) {
 	t, err := grant.Unmarshal(item.Value)
 	if err != nil {
--- a/io/process/router/mesh.go
+++ b/io/process/router/mesh.go
@@ -67,7 +67,7 @@
 		return nil
 	case *wire.Call_Status:
 		if s, ok := r.ownStatus(ctx); ok {
-			return &wire.Reply{Status: s.own}
+			return &wire.Reply{Status: s.status}
 		}
 	}
 	return &wire.Reply{Error: "not answered"}
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -18,9 +18,9 @@
 	// tickInterval is the time between two ticks of the control loop. It bounds how late
 	// the renewal or move of a key range is.
 	tickInterval = 50 * time.Millisecond
-	// leaderGossipInterval and remoteGossipInterval are the times between two rounds of
-	// gossip with the leader, which shows that the leader is alive, and with the relays of
-	// other data centres, where the interval is long to save traffic. Package member
+	// leaderGossipInterval is the time between two rounds of gossip with the leader, which
+	// show that the leader is alive. remoteGossipInterval is the time between two rounds of
+	// gossip with the relays of other data centres. It is long to save traffic. Package member
 	// determines the interval within a data centre.
 	leaderGossipInterval = 500 * time.Millisecond
 	remoteGossipInterval = 4 * time.Second
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -21,7 +21,7 @@
 	// contendedTTL is how long the leader's list of contended holders is valid. The leader
 	// sends a new one twice a second.
 	contendedTTL = 2 * time.Second
-	// issuerAbsence is how long an issuer that did not answer is not asked again.
+	// issuerAbsence is how long no permits are requested from an issuer that did not answer.
 	issuerAbsence = 5 * time.Second
 	// maxOtherServers is how many other servers a request tries after a permit was denied. If
 	// three queues are too long, the others probably are, too.
@@ -44,7 +44,8 @@
 	contendedUntil time.Time
 	// issuers are the addresses of the live daemons, by data centre.
 	issuers atomic.Pointer[map[string][]string]
-	// absentUntil is until when an issuer that did not answer is not asked, by address.
+	// absentUntil holds, by address, the time until which no permits are requested from an
+	// issuer that did not answer.
 	absentUntil map[string]time.Time
 	// lastID is the ID of the last permit request.
 	lastID uint64
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -104,6 +104,7 @@
 	return r.store.Watch(ctx, kind, since, wait)
 }
 
+// isHistoryLost reports whether the store no longer has the changes that a watch asked for.
 func isHistoryLost(err error) bool {
 	var e *news.Error
 	return errors.As(err, &e) && e.Kind == news.Forgotten
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -33,10 +33,10 @@
 	Counts         burn.Counts
 }
 
-// daemonStatus is a daemon's own status, with the addresses of the other daemons.
-type daemonStatus struct {
-	own   *wire.StatusReply
-	peers []string
+// ownStatus is the status of this daemon, with the addresses of the other daemons.
+type ownStatus struct {
+	status *wire.StatusReply
+	peers  []string
 }
 
 // ClusterStatus requests the status of all known daemons, concurrently.
@@ -47,7 +47,7 @@
 	if !ok {
 		return Status{Missing: []string{r.self.Address}}
 	}
-	out := Status{Daemons: []DaemonStatus{r.decodeStatus(own.own)}}
+	out := Status{Daemons: []DaemonStatus{r.decodeStatus(own.status)}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, address := range own.peers {
@@ -69,16 +69,18 @@
 	return out
 }
 
-func (r *Router) ownStatus(ctx context.Context) (daemonStatus, bool) {
-	reply := make(chan daemonStatus, 1)
+// ownStatus returns the status of this daemon, or false if the context ends first or the router
+// stops.
+func (r *Router) ownStatus(ctx context.Context) (ownStatus, bool) {
+	reply := make(chan ownStatus, 1)
 	if !r.post(statusMsg{reply: reply}) {
-		return daemonStatus{}, false
+		return ownStatus{}, false
 	}
 	select {
 	case s := <-reply:
 		return s, true
 	case <-ctx.Done():
-		return daemonStatus{}, false
+		return ownStatus{}, false
 	}
 }
 
@@ -97,7 +99,7 @@
 }
 
 // status returns the status of this daemon.
-func (c *control) status(now time.Time) daemonStatus {
+func (c *control) status(now time.Time) ownStatus {
 	s := c.r.current.Load()
 	c.r.mu.Lock()
 	counts := c.r.burn.Counts(now, c.r.self.DataCentre)
@@ -114,7 +116,7 @@
 	}
 	own := &wire.StatusReply{Daemon: c.r.self.Name, DataCentre: c.r.self.DataCentre, Leader: s.table.Leader.Daemon,
 		StoredAgeMillis: ageMillis(now, newest), Config: s.config.Version, Stopping: c.leaving, Counters: counters}
-	return daemonStatus{own: own, peers: c.members.AllPeers(now)}
+	return ownStatus{status: own, peers: c.members.AllPeers(now)}
 }
 
 // Ready reports whether this daemon should get requests.
