--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -266,6 +266,8 @@
 // longer than a response takes to reach any caller.
 const drainTimeout = 300 * time.Millisecond
 
+// closeIfIdle closes the connection unless a request or response is on it, or its first request
+// may still arrive. It reports whether it closed the connection.
 func (c *conn) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -277,6 +279,7 @@
 	return true
 }
 
+// isConnError reports whether the network failed, other than by a timeout.
 func isConnError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && !opErr.Timeout()
--- a/io/connection/mesh/doc.go
+++ b/io/connection/mesh/doc.go
@@ -8,7 +8,8 @@
 //	reply, err := m.Call(ctx, "127.0.0.2:7100", call)
 //	defer m.Close()
 //
-// Errors are of type *Error. The kind ConnectionRefused proves that no process listens
-// at the address, and NotSent that the call was not written. OutcomeUnknown means that
-// the call may have arrived.
+// Errors are of type *Error. The kinds ConnectionRefused and NotSent prove that the
+// call was not written. ConnectionRefused does not prove that the other daemon has ended,
+// since a network partition may refuse connections too. OutcomeUnknown means that the call
+// may have arrived.
 package mesh
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -19,7 +19,7 @@
 // maxRequestBytes limits the request bodies of operators.
 const maxRequestBytes = 1 << 20
 
-// Status is the configuration in force and how far it has spread among the daemons.
+// Status is the stored configuration and how far it is in force among the daemons.
 type Status struct {
 	// AcceptedVersion is the version of the stored configuration.
 	AcceptedVersion uint64           `json:"accepted"`
@@ -101,6 +101,7 @@
 	return h.applyChange(w, r, func(s site.Site) (site.Site, error) { return s.WithPreset(in.Name) })
 }
 
+// updateExclusions returns a handler that adds or removes an exclusion by means of update.
 func (h *handler) updateExclusions(update func(site.Site, site.Exclusion) (site.Site, error)) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		var in struct {
@@ -116,6 +117,8 @@
 	}
 }
 
+// applyChange changes the stored configuration, if it is at the version that the operator gave
+// with the request, and writes the result or the error as the response.
 func (h *handler) applyChange(w http.ResponseWriter, r bunrouter.Request, change func(site.Site) (site.Site, error)) error {
 	ifVersion, _ := strconv.ParseUint(r.URL.Query().Get("ifVersion"), 10, 64)
 	result, err := Change(r.Context(), h.daemon.Platform(), ifVersion, change)
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -77,8 +77,8 @@
 	// localRank is the number of live daemons of the data centre that rank before this one as
 	// readers of the store.
 	localRank atomic.Int64
-	// isStandbyReader is set while this daemon reads the kinds of objects that cannot
-	// wait, in addition to the leader.
+	// isStandbyReader is set while this daemon, in addition to the leader, reads the kinds of
+	// objects whose changes cannot wait.
 	isStandbyReader atomic.Bool
 	members         *member.Cluster
 	keeper          *keeper.Keeper
--- a/io/process/router/metrics.go
+++ b/io/process/router/metrics.go
@@ -25,7 +25,7 @@
 type metrics struct {
 	vars      expvar.Map
 	mu        sync.Mutex
-	latencies *hdrhistogram.Histogram // of answered requests, in microseconds
+	latencies *hdrhistogram.Histogram // of requests that did not fail, in microseconds
 }
 
 func newMetrics() *metrics {
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -40,8 +40,9 @@
 	// standby reader. It is longer than a tick because a check sorts the relays of all data
 	// centres.
 	standbyCheckInterval = 200 * time.Millisecond
-	// serverWatchWait and watchWait are how long a watch waits for a change. Servers update
-	// their entries every second or two, all other objects change rarely.
+	// serverWatchWait is how long a watch of the servers waits for a change, and watchWait how
+	// long any other watch does. Servers update their entries every second or two; all other
+	// objects change rarely.
 	serverWatchWait = 600 * time.Millisecond
 	watchWait       = 2500 * time.Millisecond
 	// probeWatchWait is how long the first watch after a failed call waits for a change.
@@ -81,8 +82,8 @@
 	// responseTransitTime is subtracted from the time that a server is given to respond. It
 	// leaves time for the transfer of the response.
 	responseTransitTime = 3 * time.Millisecond
-	// maxIdleGrantConns is how many idle connections for grants, and for releases, are kept
-	// to each server.
+	// maxIdleGrantConns is how many idle connections to a server are kept for grants, and as
+	// many again for releases.
 	maxIdleGrantConns = 1
 	// The default limits apply to callers while no configuration sets limits. They are usual
 	// values of HTTP servers.
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -51,8 +51,8 @@
 	lastID uint64
 }
 
-// heldPermit identifies the permit of an attempt. serverInstance names the server and its
-// instance.
+// heldPermit identifies the permit of an attempt. serverInstance is the ID of the server and
+// the start time of its instance.
 type heldPermit struct {
 	issuer, serverInstance string
 	id                     uint64
