--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -69,7 +69,7 @@
 	Running, Waiting, Slots int
 	// Bytes is the size of the response body.
 	Bytes int
-	// Slowdown is the server's current processing time relative to the usual one; 0 if it
+	// Slowdown is the server's current service time relative to the usual one; 0 if it
 	// is not reported.
 	Slowdown float64
 }
