--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -196,8 +196,8 @@
 	c.queue <- p
 }
 
-// cancelRequests cancels the running requests of a connection that the caller has closed.
-// A connection that was idle for too long is expected to have none.
+// cancelRequests cancels the running requests of a connection that the caller has closed, or
+// that exceeded the idle timeout. In the latter case, it is expected to have none.
 func (c *conn) cancelRequests() {
 	c.mu.Lock()
 	c.closing, c.reading = true, false
@@ -266,6 +266,8 @@
 // longer than a response takes to reach any caller.
 const drainTimeout = 300 * time.Millisecond
 
+// closeIfIdle closes the connection unless a request or response is on it, or its first request
+// may still arrive. It reports whether it closed the connection.
 func (c *conn) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -277,6 +279,7 @@
 	return true
 }
 
+// isConnError reports whether the network failed, other than by a timeout.
 func isConnError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && !opErr.Timeout()
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -19,7 +19,7 @@
 // maxRequestBytes limits the request bodies of operators.
 const maxRequestBytes = 1 << 20
 
-// Status is the configuration in force and how far it has spread among the daemons.
+// Status is the stored configuration and how far it is in force among the daemons.
 type Status struct {
 	// AcceptedVersion is the version of the stored configuration.
 	AcceptedVersion uint64           `json:"accepted"`
@@ -101,6 +101,7 @@
 	return h.applyChange(w, r, func(s site.Site) (site.Site, error) { return s.WithPreset(in.Name) })
 }
 
+// updateExclusions returns a handler that adds or removes an exclusion by means of update.
 func (h *handler) updateExclusions(update func(site.Site, site.Exclusion) (site.Site, error)) bunrouter.HandlerFunc {
 	return func(w http.ResponseWriter, r bunrouter.Request) error {
 		var in struct {
@@ -116,6 +117,8 @@
 	}
 }
 
+// applyChange changes the stored configuration, if it is at the version that the operator gave
+// with the request, and writes the result or the error as the response.
 func (h *handler) applyChange(w http.ResponseWriter, r bunrouter.Request, change func(site.Site) (site.Site, error)) error {
 	ifVersion, _ := strconv.ParseUint(r.URL.Query().Get("ifVersion"), 10, 64)
 	result, err := Change(r.Context(), h.daemon.Platform(), ifVersion, change)
@@ -126,13 +129,13 @@
 }
 
 func (h *handler) status(w http.ResponseWriter, r bunrouter.Request) error {
-	config, version, err := current(r.Context(), h.daemon.Platform())
+	stored, version, err := readSite(r.Context(), h.daemon.Platform())
 	if err != nil {
 		return writeError(w, err)
 	}
-	s := Status{AcceptedVersion: version, Preset: config.ActivePreset().Name, Change: config.Change, Exclusions: config.Exclusions, InForceEverywhere: true}
-	fleet := h.daemon.ClusterStatus(r.Context())
-	for _, d := range fleet.Daemons {
+	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, Change: stored.Change, Exclusions: stored.Exclusions, InForceEverywhere: true}
+	cluster := h.daemon.ClusterStatus(r.Context())
+	for _, d := range cluster.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, ConfigVersion: d.Config}
 		switch {
 		case row.ConfigVersion >= s.AcceptedVersion:
@@ -144,7 +147,7 @@
 		s.InForceEverywhere = s.InForceEverywhere && row.BehindReason == ""
 		s.Daemons = append(s.Daemons, row)
 	}
-	for _, address := range fleet.Missing {
+	for _, address := range cluster.Missing {
 		s.InForceEverywhere = false
 		s.Daemons = append(s.Daemons, DaemonStatus{Name: address, BehindReason: "it does not answer: lost, or cut off"})
 	}
@@ -152,18 +155,18 @@
 }
 
 func (h *handler) burn(w http.ResponseWriter, r bunrouter.Request) error {
-	config, _, err := current(r.Context(), h.daemon.Platform())
+	stored, _, err := readSite(r.Context(), h.daemon.Platform())
 	if err != nil {
 		return writeError(w, err)
 	}
-	fleet := h.daemon.ClusterStatus(r.Context())
-	report := BurnReport{Missing: fleet.Missing}
+	cluster := h.daemon.ClusterStatus(r.Context())
+	report := BurnReport{Missing: cluster.Missing}
 	var counts []burn.Counts
-	for _, d := range fleet.Daemons {
+	for _, d := range cluster.Daemons {
 		counts = append(counts, d.Counts)
 	}
 	var objectives []burn.Objective
-	for _, s := range config.Services {
+	for _, s := range stored.Services {
 		objectives = append(objectives, burn.Objective{Service: s.Name, AnsweredShare: s.Objectives.AnsweredShare, FastShare: s.Objectives.FastShare})
 	}
 	report.Rows = burn.Rates(objectives, counts)
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -89,8 +89,8 @@
 	return &object.Error{Op: op, Kind: object.Unreachable, Err: err}
 }
 
-// newDelta converts changed objects to a delta of a kind. If the site changed, the delta
-// replaces all items of the kind.
+// newDelta converts changed objects to a delta of a kind. If the kind is derived from the site
+// and the site changed, the delta replaces all items of the kind.
 func newDelta(kind object.Kind, c plat.Changes) (object.Delta, error) {
 	d := object.Delta{Kind: kind, Through: c.Revision}
 	for _, o := range c.Objects {
--- a/io/process/router/http.go
+++ b/io/process/router/http.go
@@ -15,13 +15,13 @@
 	var servers []io.Closer
 	for _, l := range []struct {
 		address, path string
-		answer        bunrouter.HandlerFunc
+		handler       bunrouter.HandlerFunc
 	}{{r.settings.ReadyAddress, "/*path", r.ServeReady}, {r.settings.MetricsAddress, "/metrics", r.ServeMetrics}} {
 		if l.address == "" {
 			continue // served elsewhere
 		}
 		mux := bunrouter.New()
-		mux.GET(l.path, l.answer)
+		mux.GET(l.path, l.handler)
 		s, err := r.startHTTPServer(l.address, mux)
 		if err != nil {
 			return servers, err
@@ -62,6 +62,6 @@
 // ServeMetrics writes the counters and latencies as JSON.
 func (r *Router) ServeMetrics(w http.ResponseWriter, _ bunrouter.Request) error {
 	w.Header().Set("Content-Type", "application/json")
-	_, err := io.WriteString(w, r.meters.vars.String())
+	_, err := io.WriteString(w, r.metrics.vars.String())
 	return err
 }
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -59,7 +59,7 @@
 	// acquiring is set during an attempt to become the leader.
 	acquiring bool
 	// hasLed is set once the daemon has been the leader. It then keeps sending gossip to
-	// the leader, since its successor waits for that.
+	// the leader: its successor waits to hear that it has stepped down.
 	hasLed bool
 }
 
@@ -68,7 +68,7 @@
 	c.leadership = leaderState{previous: m.previous.Leader, hasLed: true}
 	c.members.RecordStoreResponse(now)
 	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithGrantTTL(c.r.grantTTL))
-	c.loadStats = newSiteCounts()
+	c.clusterCounts = newClusterCounts()
 	c.r.log.Info("keys: leading", "epoch", m.table.Epoch, "before", c.leadership.previous.Daemon, "revision", m.revision)
 	c.updateKeeperFleet(now)
 	c.runKeeper(now)
@@ -81,9 +81,9 @@
 	if c.keeper != nil && c.members.HasSteppedDown(c.leadership.previous, c.keeper.Table().Epoch) {
 		c.updateKeeper(now, keeper.PreviousLeaderStoppedMsg{At: now})
 	}
-	if now.Sub(c.loadStats.meter.WindowStart()) >= loadReportInterval {
+	if now.Sub(c.clusterCounts.meter.WindowStart()) >= countReportInterval {
 		s := c.r.current.Load()
-		for _, l := range c.loadStats.closeWindow(now, s.config, s.fleet) {
+		for _, l := range c.clusterCounts.closeWindow(now, s.config, s.fleet) {
 			c.updateKeeper(now, l)
 		}
 	}
@@ -108,6 +108,7 @@
 	}
 }
 
+// execute executes a command of the keeper. The results of calls come back as messages.
 func (c *control) execute(now time.Time, cmd keeper.Cmd) {
 	switch cmd := cmd.(type) {
 	case keeper.GrantCmd:
@@ -132,6 +133,8 @@
 	}
 }
 
+// sendGrant sends a grant to a server, unless it is too late for it, and reports the result to
+// the keeper. A renewal only uses an existing connection, so that it cannot reach a new instance.
 func (r *Router) sendGrant(cmd keeper.GrantCmd) {
 	outcome := keeper.GrantResultMsg{Cmd: cmd, Result: grant.NotSent}
 	client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forGrants})
@@ -143,27 +146,30 @@
 	}
 	client.grantMu.Unlock()
 	outcome.EndedAt = r.now()
-	r.meters.increment("grants." + outcome.Result.String())
+	r.metrics.increment("grants." + outcome.Result.String())
 	r.post(keeperMsg{msg: outcome})
 }
 
+// sendRelease asks a server for a release, unless it is too late for it, and reports the result
+// to the keeper.
 func (r *Router) sendRelease(cmd keeper.ReleaseCmd) {
 	outcome := keeper.ReleaseResultMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.SendBefore) {
 		client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forReleases})
 		outcome.Result, outcome.Handover = r.callServer(client, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
-	r.meters.increment("releases." + outcome.Result.String())
+	r.metrics.increment("releases." + outcome.Result.String())
 	r.post(keeperMsg{msg: outcome})
 }
 
-// callServer makes a control call to a server: a grant or a release.
+// callServer makes a control call to a server, which is a grant or a release. It returns the
+// result, and the handover of a release.
 func (r *Router) callServer(client *serverClient, h grant.Holder, req link.Request, timeout time.Duration) (grant.Result, string) {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), timeout)
 	defer cancel()
-	answer, err := client.Do(ctx, req)
+	resp, err := client.Do(ctx, req)
 	if err == nil {
-		return r.protocol.Result(answer)
+		return r.protocol.Result(resp)
 	}
 	if !req.ExistingConnOnly || !link.NotRun(err) {
 		r.log.Info("keys: call to server failed", "target", req.Target, "server", h.Server, "host", req.Host, "err", err)
@@ -174,8 +180,8 @@
 	return grant.OutcomeUnknown, ""
 }
 
-// saveTable replaces the stored table if it is at the given revision. On a conflict it
-// returns the table in the store.
+// saveTable replaces the stored table if that is at the given revision. On a conflict it
+// returns the table in the store together with the error.
 func (r *Router) saveTable(t grant.Table, revision uint64) (object.Item, error) {
 	value, err := t.Marshal()
 	if err != nil {
@@ -183,7 +189,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), storeTimeout)
 	defer cancel()
-	r.meters.increment("store.save.tables")
+	r.metrics.increment("store.save.tables")
 	item, err := r.store.Save(ctx, object.Tables, tableName, value, revision)
 	if item.Revision > 0 {
 		r.post(deltaMsg{delta: object.Delta{Kind: object.Tables, Items: []object.Item{item}}})
@@ -228,6 +234,7 @@
 	return item, nil
 }
 
+// postStoredTable passes a table from the store to the keeper.
 func (r *Router) postStoredTable(item object.Item, requestedAt time.Time) {
 	t, err := grant.Unmarshal(item.Value)
 	if err != nil {
