--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -18,7 +18,7 @@
 	server *Server
 	net.Conn
 	limitedReader *limitedReader
-	r             *bufio.Reader
+	reader        *bufio.Reader
 	ctx           context.Context //nolint:containedctx // lives as long as the connection
 	cancel        context.CancelFunc
 	queue         chan *pendingRequest
@@ -47,7 +47,7 @@
 
 func newConn(ctx context.Context, cancel context.CancelFunc, s *Server, nc net.Conn) *conn {
 	lr := &limitedReader{r: nc}
-	return &conn{server: s, Conn: nc, limitedReader: lr, r: bufio.NewReaderSize(lr, 4096), ctx: ctx, cancel: cancel, queue: make(chan *pendingRequest, maxPipelined), openedAt: time.Now()}
+	return &conn{server: s, Conn: nc, limitedReader: lr, reader: bufio.NewReaderSize(lr, 4096), ctx: ctx, cancel: cancel, queue: make(chan *pendingRequest, maxPipelined), openedAt: time.Now()}
 }
 
 // readLoop reads requests until the caller disconnects or violates the protocol. It
@@ -61,23 +61,23 @@
 			return
 		}
 		p := &pendingRequest{done: make(chan struct{}), isHead: r.Method == http.MethodHead, closeAfter: r.Close}
-		if !c.admit() {
+		if !c.addPending() {
 			return
 		}
 		go c.handle(p, Request{Request: r, Body: body, ReadAt: time.Now()})
 		c.queue <- p
 		if p.closeAfter {
-			c.awaitDisconnect()
+			c.watchDisconnect()
 			return
 		}
 	}
 }
 
 // awaitDisconnect cancels the context if the caller disconnects after its last request.
-func (c *conn) awaitDisconnect() {
+func (c *conn) watchDisconnect() {
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
-		_, err := c.r.Peek(1)
+		_, err := c.reader.Peek(1)
 		if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.cancel()
 		}
@@ -93,7 +93,7 @@
 // shutdown, no request is accepted while another is pending on the connection: a caller
 // that always pipelines would keep the connection busy until the process ends, and lose
 // its last requests.
-func (c *conn) admit() bool {
+func (c *conn) addPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading, c.requestSeen = false, true
@@ -119,12 +119,12 @@
 func (c *conn) readRequest() (*http.Request, []byte, error) {
 	l := c.server.limits()
 	c.setReadTimeout(l.IdleTimeout)
-	if _, err := c.r.Peek(1); err != nil || !c.beginRead() {
+	if _, err := c.reader.Peek(1); err != nil || !c.beginRead() {
 		return nil, nil, errConnEnded
 	}
 	c.setReadTimeout(l.ReadTimeout)
 	c.limitedReader.setLimit(l.MaxHeaderBytes)
-	r, err := http.ReadRequest(c.r)
+	r, err := http.ReadRequest(c.reader)
 	c.limitedReader.setLimit(0)
 	if err != nil {
 		return nil, nil, err
@@ -188,7 +188,7 @@
 		c.cancelRequests()
 		return
 	}
-	if !c.admit() {
+	if !c.addPending() {
 		return
 	}
 	p := &pendingRequest{done: make(chan struct{}), closeAfter: true, resp: Response{Status: status, Header: http.Header{}}}
@@ -223,7 +223,7 @@
 			c.cancel()
 		}
 		if closeAfter {
-			c.drain()
+			c.lingeringClose()
 			return
 		}
 	}
@@ -252,11 +252,11 @@
 
 // drain closes the sending side and discards what the caller still sends. Closing the
 // connection with unread data would reset it, and the last response could be lost.
-func (c *conn) drain() {
+func (c *conn) lingeringClose() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	for range c.queue { // after the last response, admit accepts no request
 	}
 	_, _ = io.Copy(io.Discard, c.Conn)
@@ -264,7 +264,7 @@
 
 // drainTimeout is how long the caller's close is awaited after the last response. It is
 // longer than a response takes to reach any caller.
-const drainTimeout = 300 * time.Millisecond
+const lingerTimeout = 300 * time.Millisecond
 
 // closeIfIdle closes the connection unless a request or response is on it, or its first request
 // may still arrive. It reports whether it closed the connection.
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -54,7 +54,7 @@
 	Header http.Header
 	Body   []byte
 	// NotRun means that the server states that it did not run the request.
-	NotRun bool
+	Declined bool
 	// OutcomeLost means that a previous holder of the request's key may have run the request
 	// and that its outcome is lost.
 	OutcomeLost bool
@@ -164,7 +164,7 @@
 			continue
 		}
 		resp := &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body, Server: cl.serverID}
-		resp.NotRun = httpResp.Header.Get(cl.names.NotRun) != "" || httpResp.StatusCode == http.StatusMisdirectedRequest
+		resp.Declined = httpResp.Header.Get(cl.names.NotRun) != "" || httpResp.StatusCode == http.StatusMisdirectedRequest
 		resp.OutcomeLost = cl.names.OutcomeLost != "" && httpResp.Header.Get(cl.names.OutcomeLost) != ""
 		if resp.Load = parseLoad(httpResp.Header.Get(cl.names.Load)); resp.Load != nil {
 			resp.Load.Bytes = len(body)
--- a/io/connection/link/link_test.go
+++ b/io/connection/link/link_test.go
@@ -130,7 +130,7 @@
 		s := startServer(t, respondWith("HTTP/1.1 503 No\r\nCatkinstep-Request-Id: ID\r\nCatkinstep-Not-Run: 1\r\nCatkinstep-Load: 3,2,3,100\r\nContent-Length: 0\r\n\r\n"))
 		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
-		So(resp.NotRun, ShouldBeTrue)
+		So(resp.Declined, ShouldBeTrue)
 		So(resp.Load.Waiting, ShouldEqual, 2)
 	})
 }
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -89,7 +89,7 @@
 		return grant.Fenced, ""
 	case resp.Status == http.StatusMisdirectedRequest:
 		return grant.Ended, ""
-	case resp.NotRun:
+	case resp.Declined:
 		return grant.NotSent, ""
 	}
 	return grant.OutcomeUnknown, ""
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -19,14 +19,14 @@
 func (r *Router) sendWithRetries(ctx context.Context, req *request) caller.Response {
 	for {
 		if ctx.Err() != nil {
-			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerLeft)
+			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerDisconnected)
 		}
-		tableUpdated := *r.tableUpdated.Load()
+		tableUpdateCh := *r.tableUpdateCh.Load()
 		server, choice := r.chooseServer(req)
-		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableUpdated) {
+		if choice.Reason == reasonKeyMoving && r.awaitRangeOpen(ctx, req, tableUpdateCh) {
 			continue
 		}
-		if !choice.Refused() || choice.RefusalUncertain() {
+		if !choice.Refused() || choice.RefusalUncertain() { // a permit may override an uncertain refusal
 			choice = r.ensurePermit(ctx, req, server, choice)
 		}
 		if choice.Reason == reasonServerContended && req.tryOtherServer(server) {
@@ -50,9 +50,9 @@
 	}
 }
 
-// excludeFailed excludes a server from further attempts after a failed one. It keeps a
-// server that declined with free slots, which may well accept the next attempt, and the
-// holder of the request's key, which has no alternative.
+// excludeFailed excludes a server from further attempts after a failed one. It does not
+// exclude a server that declined the request with free slots, which may well accept the next
+// attempt, nor the holder of the request's key, since no other server may run the request.
 func (req *request) excludeFailed(server fleet.Server, resp *link.Response) {
 	if req.key >= 0 || resp != nil && declinedWithFreeSlots(resp) {
 		return
@@ -60,13 +60,15 @@
 	req.requirements.Excluded = append(req.requirements.Excluded, server.ID)
 }
 
-// declinedWithFreeSlots reports whether a server did not run a request although it reports
-// free slots. It is likely to accept an immediate retry.
+// declinedWithFreeSlots reports whether a server declined a request although it reports free
+// slots and may run the request. It is likely to accept an immediate retry.
 func declinedWithFreeSlots(resp *link.Response) bool {
-	return resp.NotRun && resp.Status != http.StatusMisdirectedRequest && resp.Load != nil && resp.Load.Running < resp.Load.Slots
+	return resp.Declined && resp.Status != http.StatusMisdirectedRequest && resp.Load != nil && resp.Load.Running < resp.Load.Slots
 }
 
-// chooseServer chooses the server for the next attempt.
+// chooseServer chooses the server for the next attempt. The attempt begins unless the choice is
+// a refusal. It also begins if the refusal is uncertain, since a permit may override it;
+// ensurePermit ends the attempt if none is granted.
 func (r *Router) chooseServer(req *request) (fleet.Server, spread.Choice) {
 	snap := r.current.Load()
 	now := time.Now()
@@ -83,18 +85,19 @@
 	return choice.Server, choice
 }
 
-// chooseHolder returns the holder of the request's key, the only server that may run it, or
-// a refusal.
+// chooseHolder returns the holder of the request's key, the only server that may run it, and
+// whether the request may be sent there now or is refused. The attempt begins as in
+// chooseServer.
 func (r *Router) chooseHolder(snap *snapshot, req *request, now time.Time) (fleet.Server, spread.Choice) {
-	keyRange, ok := snap.table.RangeOf(req.service.Name, req.key)
-	server, found := snap.fleet.Find(keyRange.Holder.Server)
-	holderAlive := found && server.StartMillis == keyRange.Holder.StartMillis
+	keyRange, rangeFound := snap.table.RangeOf(req.service.Name, req.key)
+	server, serverFound := snap.fleet.Find(keyRange.Holder.Server)
+	holderAlive := serverFound && server.StartMillis == keyRange.Holder.StartMillis
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if retryAfter, ok := r.admit(req, now); !ok {
 		return server, spread.Choice{Server: server, Reason: reasonKeyOverloaded, RetryAfter: retryAfter}
 	}
-	if !ok || !keyRange.IsOpen() || !holderAlive || !snap.mayServe(server) {
+	if !rangeFound || !keyRange.IsOpen() || !holderAlive || !snap.mayServe(server) {
 		return server, r.closedRangeChoice(now, req, keyRange, holderAlive)
 	}
 	choice := r.spread.Evaluate(now, req.requirements, server)
@@ -117,9 +120,9 @@
 	return resp, err
 }
 
-// exchange sends the request to a server and waits for the response. If the caller leaves, it
-// cancels only an idempotent request: cancelling any other one would leave its outcome unknown
-// without need.
+// exchange sends the request to a server and waits for the response. If the caller disconnects,
+// it cancels only an idempotent request: cancelling any other one would leave its outcome
+// unknown without need.
 func (r *Router) exchange(ctx context.Context, req *request, server fleet.Server) (*link.Response, error) {
 	if !req.route.Idempotent {
 		ctx = context.WithoutCancel(ctx)
@@ -158,7 +161,7 @@
 		return spread.ConnectionReset
 	case err != nil:
 		return spread.Failed
-	case resp.NotRun:
+	case resp.Declined:
 		return spread.Shed
 	case resp.Status >= http.StatusInternalServerError:
 		return spread.Failed
@@ -167,17 +170,18 @@
 }
 
 // evaluateAttempt handles the end of an attempt. It returns either the reply to the caller,
-// or true if the request is to be sent again.
+// or true if the request is to be sent again. It also sets the request's maybeRan and
+// fallbackResponse, on which the decisions after further attempts depend.
 func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, resp *link.Response, err error) (caller.Response, bool) {
-	notRun := err != nil && link.NotRun(err) || err == nil && resp.NotRun
+	notRun := err != nil && link.NotRun(err) || err == nil && resp.Declined
 	if link.KindOf(err) == link.ConnectionLost {
 		r.recordLoss(req, server.ID)
 	}
 	switch {
 	case err == nil && resp.OutcomeLost:
 		return r.replyOutcomeLost(req, server.ID), false
-	case err == nil && !resp.NotRun && r.isServerResponse(resp):
-		r.clearSuspicion(req)
+	case err == nil && !resp.Declined && r.isServerResponse(resp):
+		r.clearSuspect(req)
 		if resp.Status < http.StatusInternalServerError || !r.mayRetry(ctx, req, false) {
 			if resp.Status >= http.StatusInternalServerError {
 				r.logFailedAttempt(req, server, choice, resp, nil, "passed on")
@@ -191,9 +195,9 @@
 		req.maybeRan = true
 	}
 	if notRun && req.key >= 0 && err == nil && !declinedWithFreeSlots(resp) {
-		return r.giveUp(req, choice, reasonNotHeldOrFull, r.retryAfterNotRun(req, server, resp)), false
+		return r.giveUp(req, choice, reasonDeclined, r.retryAfterDeclined(req, server, resp)), false
 	}
-	if r.mayRetry(ctx, req, notRun) && (!r.retryState(req, notRun).UsesBudget() || r.withdrawRetry(req)) {
+	if r.mayRetry(ctx, req, notRun) && (!r.retryState(req, notRun).UsesBudget() || r.tryWithdrawRetry(req)) {
 		r.logFailedAttempt(req, server, choice, resp, err, "sent again")
 		return caller.Response{}, true
 	}
@@ -201,9 +205,8 @@
 	return r.giveUp(req, choice, reasonAttemptFailed, choice.RetryAfter), false
 }
 
-// isServerResponse reports whether a response comes from the server itself and not from
-// something else in its place. A response with a status below 300 does only if it has the
-// signature header.
+// isServerResponse reports whether a response comes from the server itself. A response with a
+// status below 300 must have the signature header to show this.
 func (r *Router) isServerResponse(resp *link.Response) bool {
 	return resp.Status >= http.StatusMultipleChoices || resp.Header.Get(r.protocol.Names().Signature) != ""
 }
@@ -237,8 +240,8 @@
 	return r.spread.TypicalServiceTime(req.requirements) / 2
 }
 
-// withdrawRetry takes one retry from the service's budget, and reports whether one was left.
-func (r *Router) withdrawRetry(req *request) bool {
+// tryWithdrawRetry takes one retry from the service's budget, and reports whether one was left.
+func (r *Router) tryWithdrawRetry(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budgets[req.service.Name].TryWithdraw()
--- a/io/process/router/boot.go
+++ b/io/process/router/boot.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// recordLoaded records that the first list of a kind was read; an empty kind records nothing.
-// It releases the waiting requests once the boot phase is done, which may be by timeout.
+// recordLoaded records that the first list of a kind was read; with the kind "", it records
+// nothing. It releases the waiting requests once the boot phase has ended, which may be by
+// timeout.
 func (c *control) recordLoaded(now time.Time, kind object.Kind) {
 	select {
 	case <-c.r.bootDone:
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -20,39 +20,41 @@
 func (r *Router) recordTableChange(now time.Time, t grant.Table) {
 	servers := r.current.Load().fleet
 	r.mu.Lock()
-	r.gaps.Observe(now, t, func(holder grant.Holder) bool {
+	r.reopenEstimator.Observe(now, t, func(holder grant.Holder) bool {
 		server, ok := servers.Find(holder.Server)
 		return ok && server.StartMillis == holder.StartMillis
 	})
 	r.mu.Unlock()
-	close(*r.tableUpdated.Swap(new(make(chan struct{}))))
+	close(*r.tableUpdateCh.Swap(new(make(chan struct{}))))
 }
 
 // closedRangeChoice returns the refusal of a request whose range is closed. It asks the caller
 // to retry when the range has probably opened: an earlier retry would be refused again, a later
 // one would waste time. r.mu must be held.
 func (r *Router) closedRangeChoice(now time.Time, req *request, keyRange grant.Range, holderAlive bool) spread.Choice {
-	estimate := r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, holderAlive)
+	estimate := r.reopenEstimator.EstimateOpening(r.now(), req.service.Name, keyRange, holderAlive)
 	req.rangeOpensBy = now.Add(estimate.P90)
 	return spread.Choice{Reason: reasonKeyMoving, RetryAfter: estimate.Median}
 }
 
-// retryAfterNotRun returns after which time to retry a request that the holder of its key did
-// not run: the time until the range probably has another holder, or until the queue is shorter.
-func (r *Router) retryAfterNotRun(req *request, server fleet.Server, resp *link.Response) time.Duration {
+// retryAfterDeclined returns after which time to retry a request that the holder of its key
+// declined. If the holder does not hold the key, it is the time until the range probably has
+// another holder, and otherwise the time until the queue is shorter.
+func (r *Router) retryAfterDeclined(req *request, server fleet.Server, resp *link.Response) time.Duration {
 	keyRange, _ := r.current.Load().table.RangeOf(req.service.Name, req.key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if resp.Status == http.StatusMisdirectedRequest {
-		return r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, true).Median
+		return r.reopenEstimator.EstimateOpening(r.now(), req.service.Name, keyRange, true).Median
 	}
 	return r.spread.Evaluate(time.Now(), req.requirements, server).RetryAfter
 }
 
-// awaitRangeOpen waits for a new table, and reports whether one came. A request only waits if
-// its range certainly opens early enough for a response within the latency target. Any other
-// request is refused at once, so that its caller can proceed without the response.
-func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableUpdated <-chan struct{}) bool {
+// awaitRangeOpen waits for a new table, and reports whether one came into force. A request
+// waits only if its range very probably opens early enough for a response within the latency
+// target. Any other request is refused at once, so that its caller can proceed without the
+// response.
+func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableUpdateCh <-chan struct{}) bool {
 	r.mu.Lock()
 	latestStart := req.ReadAt.Add(req.route.LatencyTarget - r.spread.TypicalServiceTime(req.requirements))
 	r.mu.Unlock()
@@ -62,7 +64,7 @@
 	timer := time.NewTimer(time.Until(latestStart))
 	defer timer.Stop()
 	select {
-	case <-tableUpdated:
+	case <-tableUpdateCh:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -76,7 +76,7 @@
 	Convey("A request with enough time waits, and proceeds once the range is open", t, func() {
 		r, req, choice := start(time.Minute)
 		So(choice.Reason, ShouldEqual, reasonKeyMoving)
-		changed := *r.tableUpdated.Load()
+		changed := *r.tableUpdateCh.Load()
 		r.control.applyTable(atSecond(100.1), tableWithRange(91, false))
 		So(r.awaitRangeOpen(context.Background(), req, changed), ShouldBeTrue)
 		_, choice = r.chooseHolder(r.current.Load(), req, time.Now())
@@ -84,12 +84,12 @@
 	})
 	Convey("A request that could not be answered within its latency target does not wait", t, func() {
 		r, req, _ := start(120 * time.Millisecond)
-		So(r.awaitRangeOpen(context.Background(), req, *r.tableUpdated.Load()), ShouldBeFalse)
+		So(r.awaitRangeOpen(context.Background(), req, *r.tableUpdateCh.Load()), ShouldBeFalse)
 	})
 	Convey("The wait ends when the caller leaves", t, func() {
 		r, req, _ := start(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(r.awaitRangeOpen(ctx, req, *r.tableUpdated.Load()), ShouldBeFalse)
+		So(r.awaitRangeOpen(ctx, req, *r.tableUpdateCh.Load()), ShouldBeFalse)
 	})
 }
--- a/io/process/router/clustercounts.go
+++ b/io/process/router/clustercounts.go
@@ -15,31 +15,31 @@
 type clusterCounts struct {
 	meter     *rate.Meter
 	slowdowns *speed.Estimator
-	// queueReports are the reports on the servers' queues since the last window.
+	// queueReports are the reports on the servers' queues since the last window was closed.
 	queueReports []keeper.QueueReport
 }
 
 // serverStats are the measurements of a server since the last report.
 type serverStats struct {
 	speed.Sample
-	// loadReports and fullReports are the numbers of responses that reported the load, and
+	// loadReports and longQueueReports are the numbers of responses that reported the load, and
 	// that reported a long queue.
-	loadReports, fullReports int
+	loadReports, longQueueReports int
 }
 
 // serverStatsFrom converts another daemon's message.
 func serverStatsFrom(p *wire.Pace) serverStats {
-	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), fullReports: int(p.Full)}
+	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), longQueueReports: int(p.Full)}
 }
 
 // with returns the sum of both.
 func (s serverStats) with(other serverStats) serverStats {
-	return serverStats{Sample: s.With(other.Sample), loadReports: s.loadReports + other.loadReports, fullReports: s.fullReports + other.fullReports}
+	return serverStats{Sample: s.With(other.Sample), loadReports: s.loadReports + other.loadReports, longQueueReports: s.longQueueReports + other.longQueueReports}
 }
 
 // toWire returns the message for other daemons.
 func (s serverStats) toWire(server string) *wire.Pace {
-	return &wire.Pace{Server: server, Factor: float32(s.Slowdown), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.fullReports)}
+	return &wire.Pace{Server: server, Factor: float32(s.Slowdown), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.longQueueReports)}
 }
 
 func newClusterCounts() *clusterCounts {
@@ -55,7 +55,7 @@
 		stats := serverStatsFrom(p)
 		c.slowdowns.Add(p.Server, stats.Sample)
 		if stats.loadReports > 0 {
-			c.queueReports = append(c.queueReports, keeper.QueueReport{Server: p.Server, LoadReports: stats.loadReports, LongQueueReports: stats.fullReports})
+			c.queueReports = append(c.queueReports, keeper.QueueReport{Server: p.Server, LoadReports: stats.loadReports, LongQueueReports: stats.longQueueReports})
 		}
 	}
 }
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -18,8 +18,8 @@
 
 // Messages to the control loop.
 type (
-	tickMsg    struct{}
-	leavingMsg struct{}
+	tickMsg     struct{}
+	stoppingMsg struct{}
 	// deltaMsg carries changes to the objects of one kind, from the store or another
 	// daemon. done, if set, is closed once they are applied.
 	deltaMsg struct {
@@ -43,8 +43,9 @@
 	fetchEndedMsg struct{ kind, address string }
 	// storeFailedMsg reports that the store did not answer this daemon.
 	storeFailedMsg struct{}
-	// urgentChangeMsg reports a change that other daemons must learn of at once.
-	urgentChangeMsg struct{}
+	// propagateMsg asks for gossip at once, since other daemons must learn of a request that
+	// this daemon refuses as a crash suspect, or that may have run at a lost holder.
+	propagateMsg struct{}
 	// statusMsg requests the daemon's status.
 	statusMsg struct {
 		reply chan ownStatus
@@ -57,14 +58,14 @@
 	gossipEndedMsg struct{ address string }
 	// keeperMsg carries a message to the keeper. It is dropped unless this daemon leads.
 	keeperMsg struct{ msg keeper.Msg }
-	// leadTakenMsg reports that this daemon has become the leader.
-	leadTakenMsg struct {
+	// leadershipAcquiredMsg reports that this daemon has become the leader.
+	leadershipAcquiredMsg struct {
 		table, previous grant.Table
 		revision        uint64
 	}
-	// leadNotTakenMsg reports that an attempt to become the leader failed.
-	leadNotTakenMsg struct{}
-	settingsMsg     struct{ settings setup.Settings }
+	// leadershipNotAcquiredMsg reports that an attempt to become the leader failed.
+	leadershipNotAcquiredMsg struct{}
+	settingsMsg              struct{ settings setup.Settings }
 )
 
 // control is the state that the control loop owns.
@@ -72,18 +73,19 @@
 	r              *Router
 	caches         map[object.Kind]*object.Cache
 	knownRevisions map[object.Kind]*atomic.Uint64
-	// isReader is set while this daemon reads the store on behalf of the others.
+	// isReader is set while this daemon reads all kinds of objects from the store on behalf of
+	// the others.
 	isReader atomic.Bool
 	// localRank is the number of live daemons of the data centre that rank before this one as
 	// readers of the store.
 	localRank atomic.Int64
 	// isStandbyReader is set while this daemon, in addition to the leader, reads the kinds of
-	// objects whose changes cannot wait.
+	// objects that decide where requests go.
 	isStandbyReader atomic.Bool
 	members         *member.Cluster
 	keeper          *keeper.Keeper
 	leadership      leaderState
-	leaving         bool
+	stopping        bool
 	seeds           []string
 	serverList      *serverList
 	lastRuns        lastRuns
@@ -91,7 +93,8 @@
 	gossipPending   map[string]bool
 	pendingFetches  pendingFetches
 	lastCountReport countReport
-	// previousTables are the tables that were in force before, the newest last.
+	// previousTables are the last tables that were in force before the current one, the newest
+	// last.
 	previousTables []grant.Table
 	// encodedTables caches the encoded forms of the current table: the whole table at 0,
 	// and changes by the sequence number of the older table that they apply to.
@@ -161,20 +164,20 @@
 		c.members.RecordUnanswered(now, m.address)
 	case keeperMsg:
 		c.updateKeeper(now, m.msg)
-	case leadTakenMsg:
+	case leadershipAcquiredMsg:
 		c.startLeading(now, m)
 	case settingsMsg:
 		c.applySettings(m.settings)
-	case leadNotTakenMsg:
+	case leadershipNotAcquiredMsg:
 		c.leadership.acquiring = false
 	case storeFailedMsg:
 		c.recordStoreFailure(now)
-	case urgentChangeMsg:
+	case propagateMsg:
 		c.propagateChange(now, true)
 	case statusMsg:
 		m.reply <- c.status(now)
-	case leavingMsg:
-		c.leaving = true
+	case stoppingMsg:
+		c.stopping = true
 		c.gossipToAll(now)
 	}
 }
@@ -183,17 +186,17 @@
 	c.isReader.Store(c.members.ShouldRead(now, c.caches[object.Servers].CurrentAt(), c.keeper != nil))
 	c.localRank.Store(int64(c.members.LocalRank(now)))
 	if c.due(now, &c.lastRuns.standbyCheck, standbyCheckInterval) {
-		c.isStandbyReader.Store(!c.leaving && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
+		c.isStandbyReader.Store(!c.stopping && c.members.IsStandbyReader(now, c.r.current.Load().table.Leader.Daemon))
 	}
 	c.dropExpiredServers(now)
-	c.tryTakeLead(now)
+	c.tryAcquireLeadership(now)
 	if c.keeper != nil {
 		c.runKeeper(now)
 	}
 	c.gossip(now)
 	c.recordLoaded(now, "")
 	c.refreshIssuers(now)
-	c.r.ready.Store(!c.leaving && c.isReady(now))
+	c.r.ready.Store(!c.stopping && c.isReady(now))
 }
 
 // recordStoreFailure records that the store did not answer this daemon. If this daemon is
@@ -249,7 +252,7 @@
 	case object.Servers:
 		urgent = c.applyServers(now, changed, m.fromStore)
 	case object.Exclusions:
-		c.applyOuts(changed)
+		c.applyExclusions(changed)
 	case object.Daemons:
 		c.applyDaemons(changed)
 	case object.Tables:
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -53,8 +53,8 @@
 	return object.Item{Name: id, Revision: revision, Value: v}
 }
 
-func (r *Router) updateServers(at time.Time, through uint64, items ...object.Item) {
-	r.control.update(at, deltaMsg{delta: object.Delta{Kind: object.Servers, Items: items, Through: through, CurrentAt: at}})
+func (r *Router) updateServers(at time.Time, throughRevision uint64, items ...object.Item) {
+	r.control.update(at, deltaMsg{delta: object.Delta{Kind: object.Servers, Items: items, Through: throughRevision, CurrentAt: at}})
 }
 
 func (r *Router) hasServer(id string) bool {
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -11,7 +11,7 @@
 type countReport struct {
 	sentAt time.Time
 	// relayedStats are the server statistics that other daemons of the data centre have
-	// sent since that report, to be relayed with the next one.
+	// sent since the last report. They are relayed with the next one.
 	relayedStats []*wire.Pace
 	// leaderEpoch is the epoch of the leader that received the report.
 	leaderEpoch uint64
@@ -89,7 +89,7 @@
 	}
 	for _, p := range r.spread.TakeStats(newLeader) {
 		if server, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[server.Service] {
-			stats := serverStats{Sample: speed.Sample{Slowdown: p.Slowdown, Answers: p.Answers}, loadReports: p.LoadReports, fullReports: p.LongQueueReports}
+			stats := serverStats{Sample: speed.Sample{Slowdown: p.Slowdown, Answers: p.Answers}, loadReports: p.LoadReports, longQueueReports: p.LongQueueReports}
 			statsByServer[p.Server] = statsByServer[p.Server].with(stats)
 		}
 	}
--- a/io/process/router/fetch.go
+++ b/io/process/router/fetch.go
@@ -62,7 +62,7 @@
 		return
 	}
 	d := reply.GetDelta()
-	if f.Kind == tableKind {
+	if f.Kind == publishedTableKind {
 		t, err := r.decodeTable(d)
 		if err != nil {
 			r.log.Warn("mesh: could not decode fetched table", "from", address, "err", err)
@@ -94,7 +94,7 @@
 
 // answerFetch returns the reply to another daemon's fetch.
 func (c *control) answerFetch(now time.Time, f *wire.Fetch) *wire.Delta {
-	if f.Kind == tableKind {
+	if f.Kind == publishedTableKind {
 		return c.answerTableFetch(f)
 	}
 	cache := c.caches[object.Kind(f.Kind)]
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -12,14 +12,14 @@
 	"catkinstep/io/connection/mesh"
 )
 
-// tableKind is the kind of a fetch of the published table. The stored table has the kind
-// news.Tables.
-const tableKind = "published"
+// publishedTableKind is the kind of a fetch of the published table. The stored table has the
+// kind object.Tables.
+const publishedTableKind = "published"
 
 // gossip sends this daemon's state to those other daemons for which it is due. A daemon
 // gossips with the relays of its data centre. Relays also gossip with the relays of other
-// data centres, with the leader, and with all daemons of their data centre, so that lost
-// daemons are found again. A daemon that has led gossips with the leader as well,
+// data centres, with the leader, and with all daemons of their data centre, so that daemons
+// which lost contact are found again. A daemon that has led gossips with the leader as well,
 // and one that knows no other daemon gossips with the seeds.
 func (c *control) gossip(now time.Time) {
 	relay := c.members.IsRelay(now)
@@ -98,7 +98,7 @@
 	t := c.r.current.Load().table
 	g := &wire.Gossip{
 		Name: c.r.self.Name, Address: c.r.self.Address, DataCentre: c.r.self.DataCentre, Incarnation: c.r.self.Incarnation, Strength: c.r.self.Strength,
-		Leaving: c.leaving || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: ageMillis(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: ageMillis(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
+		Leaving: c.stopping || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: ageMillis(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: ageMillis(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
 		Leader: t.Leader.Daemon, LeaderIncarnation: t.Leader.Incarnation, LeaderAgeMillis: c.leaderAge(now, t.Leader),
 	}
 	for _, k := range object.Kinds {
@@ -110,9 +110,10 @@
 	return g
 }
 
-// addLoad adds the requests that this daemon has in flight, for daemons of its data
-// centre. In the reply to a peer's gossip, a relay gives the total of all daemons except
-// that peer instead, so that the peer need not ask the others. peer is empty otherwise.
+// addLoad adds the requests that this daemon has in flight at servers to a gossip message for
+// a daemon of its data centre. In the reply to a peer's gossip, a relay instead adds the
+// total of all daemons except that peer, so that the peer need not ask the others. peer is the
+// name of that peer, and empty for a message that is not a reply.
 func (c *control) addLoad(now time.Time, g *wire.Gossip, peer string) {
 	relay := c.members.IsRelay(now)
 	c.r.mu.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// leaderAge is how long ago, in milliseconds, the leader was last heard from. It is -1 if
+// leaderAge returns how long ago, in milliseconds, the leader was last heard from. It is -1 if
 // that is unknown, or if the leader is an earlier incarnation of this daemon.
 func (c *control) leaderAge(now time.Time, l grant.Leader) int64 {
 	if l.Daemon == c.r.self.Name {
@@ -156,8 +157,8 @@
 	}
 }
 
-// applyGossip applies another daemon's gossip, and fetches the changes that it has and
-// this daemon does not.
+// applyGossip applies another daemon's gossip, and fetches the changes that the other daemon
+// has and this one does not.
 func (c *control) applyGossip(now time.Time, m gossipMsg) {
 	g := m.gossip
 	if m.reply != nil {
@@ -181,14 +182,14 @@
 	}
 	c.applyPeerLoad(now, g)
 	c.r.mergeSent(g.Sent)
-	if c.r.mergeLosses(g.Suspects) {
+	if c.r.mergeSuspects(g.Suspects) {
 		c.propagateChange(now, false)
 	}
 	c.receiveCounts(now, g)
 	c.receiveLimits(now, g.Limits)
 	t := c.r.current.Load().table
 	if (grant.Table{Epoch: g.Epoch, Seq: g.Seq}).Newer(t) {
-		c.fetch(now, g.Address, &wire.Fetch{Kind: tableKind, Since: t.Seq, Epoch: t.Epoch})
+		c.fetch(now, g.Address, &wire.Fetch{Kind: publishedTableKind, Since: t.Seq, Epoch: t.Epoch})
 	}
 	for _, k := range g.Known {
 		cache := c.caches[object.Kind(k.Kind)]
@@ -228,7 +229,7 @@
 	c.r.spread.SetPeerLoad(now, g.Name, loads)
 }
 
-// ageMillis is the time since t in milliseconds; -1 if t is zero.
+// ageMillis returns the time since t in milliseconds, or -1 if t is zero.
 func ageMillis(now, t time.Time) int64 {
 	if t.IsZero() {
 		return -1
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -14,14 +14,14 @@
 // tableName is the name of the table in the store.
 const tableName = "keys"
 
-// tryTakeLead starts an attempt to become the leader if the known leader appears to have
-// ended or stepped down.
-func (c *control) tryTakeLead(now time.Time) {
-	if c.keeper != nil || c.leadership.acquiring || c.leaving || c.knownRevision(object.Tables) == 0 || len(c.r.current.Load().keyedServices()) == 0 {
+// tryAcquireLeadership starts an attempt to become the leader if the known leader appears to
+// have ended or stepped down.
+func (c *control) tryAcquireLeadership(now time.Time) {
+	if c.keeper != nil || c.leadership.acquiring || c.stopping || c.knownRevision(object.Tables) == 0 || len(c.r.current.Load().keyedServices()) == 0 {
 		return
 	}
-	shouldTake, _ := c.members.ShouldTakeLead(now, c.stored.header.Leader)
-	if !shouldTake {
+	shouldAcquire, _ := c.members.ShouldTakeLead(now, c.stored.header.Leader)
+	if !shouldAcquire {
 		return
 	}
 	stored, err := c.stored.decode()
@@ -32,15 +32,15 @@
 	next := stored.WithCompletedMoves(c.r.current.Load().table)
 	next.Epoch, next.Seq = stored.Epoch+1, stored.Seq+1
 	next.Leader = grant.Leader{Daemon: c.r.self.Name, Incarnation: c.r.self.Incarnation}
-	go c.r.takeLead(next, stored, c.stored.revision)
+	go c.r.acquireLeadership(next, stored, c.stored.revision)
 }
 
-// takeLead stores the table under a new epoch, provided that the stored table is still
-// the one that the decision was based on.
-func (r *Router) takeLead(next, previous grant.Table, revision uint64) {
+// acquireLeadership makes this daemon the leader: it stores the table under a new epoch,
+// provided that the stored table is still the one that the decision was based on.
+func (r *Router) acquireLeadership(next, previous grant.Table, revision uint64) {
 	item, err := r.saveTable(next, revision)
 	if err == nil {
-		r.post(leadTakenMsg{table: next, previous: previous, revision: item.Revision})
+		r.post(leadershipAcquiredMsg{table: next, previous: previous, revision: item.Revision})
 		return
 	}
 	r.log.Info("keys: could not become leader", "epoch", next.Epoch, "err", err)
@@ -49,7 +49,7 @@
 		r.log.Info("keys: could not read table after failing to become leader", "err", err)
 	}
 	sleep(ctx, minBackoff)
-	r.post(leadNotTakenMsg{})
+	r.post(leadershipNotAcquiredMsg{})
 }
 
 // leaderState is the state of this daemon's own leadership.
@@ -64,7 +64,7 @@
 }
 
 // startLeading makes this daemon act as the leader.
-func (c *control) startLeading(now time.Time, m leadTakenMsg) {
+func (c *control) startLeading(now time.Time, m leadershipAcquiredMsg) {
 	c.leadership = leaderState{previous: m.previous.Leader, hasLed: true}
 	c.members.RecordStoreResponse(now)
 	c.keeper = keeper.New(now, m.table, m.revision, keeper.WithGrantTTL(c.r.grantTTL))
@@ -92,7 +92,7 @@
 
 func (c *control) updateKeeperFleet(now time.Time) {
 	s := c.r.current.Load()
-	c.updateKeeper(now, keeper.FleetMsg{Fleet: s.fleet, KeyedServices: s.keyedServices(), ExcludedDataCentres: s.outDataCentres, RebalancingDisabled: s.config.DisableRebalancing, DaemonCount: c.members.Count()})
+	c.updateKeeper(now, keeper.FleetMsg{Fleet: s.fleet, KeyedServices: s.keyedServices(), ExcludedDataCentres: s.excludedDataCentres, RebalancingDisabled: s.config.DisableRebalancing, DaemonCount: c.members.Count()})
 }
 
 // updateKeeper passes a message to the keeper and executes the commands that it returns.
@@ -133,8 +133,9 @@
 	}
 }
 
-// sendGrant sends a grant to a server, unless it is too late for it, and reports the result to
-// the keeper. A renewal only uses an existing connection, so that it cannot reach a new instance.
+// sendGrant sends a grant to a server, unless cmd.SendBefore has passed, and reports the result
+// to the keeper. A renewal only uses an existing connection, so that it cannot reach a new
+// instance of the server.
 func (r *Router) sendGrant(cmd keeper.GrantCmd) {
 	outcome := keeper.GrantResultMsg{Cmd: cmd, Result: grant.NotSent}
 	client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forGrants})
@@ -150,8 +151,8 @@
 	r.post(keeperMsg{msg: outcome})
 }
 
-// sendRelease asks a server for a release, unless it is too late for it, and reports the result
-// to the keeper.
+// sendRelease asks a server for a release, unless cmd.SendBefore has passed, and reports the
+// result to the keeper.
 func (r *Router) sendRelease(cmd keeper.ReleaseCmd) {
 	outcome := keeper.ReleaseResultMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.SendBefore) {
@@ -162,8 +163,8 @@
 	r.post(keeperMsg{msg: outcome})
 }
 
-// callServer makes a control call to a server, which is a grant or a release. It returns the
-// result, and the handover of a release.
+// callServer makes a control call, a grant or a release, to a server. It returns the result,
+// and for a release also the handover.
 func (r *Router) callServer(client *serverClient, h grant.Holder, req link.Request, timeout time.Duration) (grant.Result, string) {
 	ctx, cancel := context.WithTimeout(r.tomb.Context(context.Background()), timeout)
 	defer cancel()
@@ -180,7 +181,7 @@
 	return grant.OutcomeUnknown, ""
 }
 
-// saveTable replaces the stored table if that is at the given revision. On a conflict it
+// saveTable replaces the stored table if it is at the given revision. On a conflict it
 // returns the table in the store together with the error.
 func (r *Router) saveTable(t grant.Table, revision uint64) (object.Item, error) {
 	value, err := t.Marshal()
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -26,15 +26,17 @@
 	remoteGossipInterval = 4 * time.Second
 	// meshTimeout bounds a call between daemons.
 	meshTimeout = 700 * time.Millisecond
-	// fetchTimeout bounds a fetch. It is longer, since a large configuration may share a
-	// slow network link with requests.
+	// fetchTimeout bounds a fetch of changed objects or of the table from another daemon. It is
+	// longer than meshTimeout, since a large configuration may share a slow network link with
+	// requests.
 	fetchTimeout = 3 * time.Second
 	// serverReadPause is the pause between two reads of changes to servers, which occur many
-	// times a second. Daemons must learn within two seconds that a server is leaving.
+	// times a second. Daemons must learn within two seconds that a server is draining.
 	serverReadPause = 300 * time.Millisecond
-	// standbyReadPause is the pause between two reads of any kind by the standby reader. By
-	// the end of it, most changes have reached the standby reader from the leader, so that it
-	// does not propagate them a second time.
+	// standbyReadPause is the pause between two reads of any kind by the standby reader, the
+	// daemon that reads the store in addition to the leader. By the end of it, most changes
+	// have reached the standby reader from the leader, so that it does not propagate them a
+	// second time.
 	standbyReadPause = 700 * time.Millisecond
 	// standbyCheckInterval is the time between two checks of whether this daemon is the
 	// standby reader. It is longer than a tick because a check sorts the relays of all data
@@ -45,9 +47,11 @@
 	// objects change rarely.
 	serverWatchWait = 600 * time.Millisecond
 	watchWait       = 2500 * time.Millisecond
-	// probeWatchWait is how long the first watch after a failed call waits for a change.
+	// probeWatchWait is how long the first watch after a failed call waits for a change. It is
+	// short because a watch that begins during an outage receives nothing, even after the
+	// store is back.
 	probeWatchWait = 20 * time.Millisecond
-	// watchTimeoutMargin is how much longer than these waits a watch may take.
+	// watchTimeoutMargin is how much longer than its wait for a change a watch may take.
 	watchTimeoutMargin = 700 * time.Millisecond
 	// storeTimeout bounds all calls to the store but watches. They normally take milliseconds.
 	storeTimeout = 900 * time.Millisecond
@@ -74,13 +78,14 @@
 	// shutdownMargin is how long before the end of the grace period the daemon stops waiting
 	// for running requests.
 	shutdownMargin = 400 * time.Millisecond
-	// retryUtilisation is the part of the allowed retries that is used. The rest is left
-	// for daemons whose share of the requests has just shrunk.
+	// retryUtilisation is the fraction of the allowed retries that the daemons use. The rest
+	// is a reserve for daemons whose share of the requests has just shrunk.
 	retryUtilisation = 0.7
-	// responseMargin is how long after the deadline a server's response is still awaited.
+	// responseMargin is how long after the caller's deadline this daemon still waits for a
+	// server's response.
 	responseMargin = 60 * time.Millisecond
-	// responseTransitTime is subtracted from the time that a server is given to respond. It
-	// leaves time for the transfer of the response.
+	// responseTransitTime is how long before the caller's deadline the server is told to
+	// respond, which leaves time for the transfer of the response.
 	responseTransitTime = 3 * time.Millisecond
 	// maxIdleGrantConns is how many idle connections to a server are kept for grants, and as
 	// many again for releases.
@@ -89,7 +94,7 @@
 	// values of HTTP servers.
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 1 << 20
-	defaultHeaderTimeout  = 3 * time.Second
+	defaultReadTimeout    = 3 * time.Second
 	defaultIdleTimeout    = 15 * time.Second
 	// statusTimeout bounds a request for the status of all daemons.
 	statusTimeout = 700 * time.Millisecond
@@ -140,18 +145,18 @@
 	// AddResponseHeaders adds headers for the caller to the response of a server, given the
 	// IDs of the request and of the server.
 	AddResponseHeaders(h http.Header, id, server string)
-	// RefusalResponse returns the header and body of a reply that the daemon itself makes,
-	// because it cannot pass on a server's response.
+	// RefusalResponse returns the header and body of a reply that the daemon itself makes
+	// because it has no response of a server for the caller.
 	RefusalResponse(f caller.Refusal) (http.Header, []byte)
 }
 
-// Option changes a Router that New makes.
+// Option configures a Router.
 type Option func(*Router)
 
 // WithLogger sets the logger.
 func WithLogger(l *slog.Logger) Option { return func(r *Router) { r.log = l } }
 
-// WithClock sets the clock of the control state. It must advance while the host is suspended.
+// WithClock sets the clock of the control loop. It must advance while the host is suspended.
 func WithClock(now func() time.Time) Option { return func(r *Router) { r.now = now } }
 
 // WithGrantTTL sets how long a grant is valid. The settings may shorten it.
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -24,7 +24,7 @@
 	// issuerAbsence is how long no permits are requested from an issuer that did not answer.
 	issuerAbsence = 5 * time.Second
 	// maxOtherServers is how many other servers a request tries after a permit was denied. If
-	// three queues are too long, the others probably are, too.
+	// three queues are too long, those of all other servers probably are, too.
 	maxOtherServers = 2
 	// issuersInterval is the interval between updates of the list of issuers.
 	issuersInterval = 500 * time.Millisecond
@@ -65,8 +65,8 @@
 	}
 }
 
-// refreshIssuers updates the list of daemons that may issue permits. It also drops the expired
-// permits that this daemon issued, whose requests have certainly ended.
+// refreshIssuers updates the list of daemons that may issue permits, if that is due. It also
+// drops the expired permits that this daemon issued, whose requests have certainly ended.
 func (c *control) refreshIssuers(now time.Time) {
 	if c.due(now, &c.lastRuns.issuerList, issuersInterval) {
 		liveDaemons := c.members.ReachableAddresses(now)
@@ -104,7 +104,7 @@
 
 // ensurePermit requests a permit if the chosen server is contended. It returns the choice, as
 // a refusal if the permit was denied. A granted permit overrides this daemon's own estimate
-// that the server is too busy.
+// that the server is too busy. If the choice remains a refusal, ensurePermit ends the attempt.
 func (r *Router) ensurePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) spread.Choice {
 	decision, answered := r.acquirePermit(ctx, req, server, choice)
 	switch {
@@ -127,8 +127,8 @@
 	r.spread.End(time.Now(), server, req.requirements, req.attemptStart, outcome, nil)
 }
 
-// acquirePermit returns the issuer's decision, or false if no permit is needed or no issuer
-// replied.
+// acquirePermit requests a permit and returns the issuer's decision, or false if no permit is
+// needed or no issuer replied.
 func (r *Router) acquirePermit(ctx context.Context, req *request, server fleet.Server, choice spread.Choice) (permit.Decision, bool) {
 	permitReq, ok := r.permitRequest(req, server, choice)
 	if !ok {
@@ -146,9 +146,9 @@
 	return decision, answered
 }
 
-// permitRequest returns the permit request for an attempt, or false if it needs no permit. The
-// leader decides which holders of keys are contended, and this daemon decides it for all other
-// servers.
+// permitRequest returns the permit request for an attempt, or false if the attempt needs no
+// permit. Which holders of keys are contended is decided by the leader, and which other servers
+// are by this daemon.
 func (r *Router) permitRequest(req *request, server fleet.Server, choice spread.Choice) (permit.Request, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -192,7 +192,7 @@
 	reply, err := r.callShared(askCtx, issuer, &wire.Call{Kind: &wire.Call_Permit{Permit: m}})
 	if err != nil || reply.Permit == nil {
 		r.metrics.increment("permits.unanswered")
-		if ctx.Err() == nil { // otherwise the caller left
+		if ctx.Err() == nil { // otherwise the caller has disconnected
 			r.markIssuerAbsent(issuer, err)
 		}
 		return permit.Decision{}, false
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -66,8 +66,8 @@
 }
 
 // waitBeforeRetry waits after a failed call to the store. The wait grows with the number
-// of daemons of the data centre that rank before this one. It ends early if this daemon
-// need no longer read the store.
+// of daemons of the data centre that rank before this one as readers. It ends early if this
+// daemon need no longer read the store.
 func (r *Router) waitBeforeRetry(ctx context.Context, backoff time.Duration) {
 	startedAt := r.now()
 	sleep(ctx, backoff)
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -36,7 +36,7 @@
 	"catkinstep/io/process/clock"
 )
 
-// Router is one daemon.
+// Router is one daemon: its listeners, its connections and its state.
 type Router struct {
 	settings setup.Settings // passed to New
 	store    Store
@@ -50,19 +50,19 @@
 	control *control
 	inbox   chan any
 	current atomic.Pointer[snapshot]
-	// tableUpdated is closed and replaced when a new table comes into force.
-	tableUpdated atomic.Pointer[chan struct{}]
-	ready        atomic.Bool
-	listening    chan struct{} // closed once all addresses are listened on
-	aborted      atomic.Bool
-	callers      *caller.Server
-	mesh         *mesh.Mesh
-	clientPool   clientPool
+	// tableUpdateCh is a channel that is closed and replaced when a new table comes into force.
+	tableUpdateCh atomic.Pointer[chan struct{}]
+	ready         atomic.Bool
+	listening     chan struct{} // closed once all addresses are listened on
+	aborted       atomic.Bool
+	callers       *caller.Server
+	mesh          *mesh.Mesh
+	clientPool    clientPool
 
 	mu      sync.Mutex // guards the mutable fields from here to random, which requests share
 	spread  *spread.Balancer
 	budgets map[string]*retry.Budget
-	// suspects records the requests during which servers were lost.
+	// suspects records the requests that were running at servers that were lost.
 	suspects      *crash.Suspects
 	suspectBuffer piggybackBuffer[*wire.Suspect]
 	// sent holds the IDs of requests that must not run twice. unansweredBuffer holds those
@@ -70,15 +70,15 @@
 	sent             *sent.History
 	unansweredBuffer piggybackBuffer[sentRecord]
 	burn             *burn.Meter
-	// gaps estimates how long ranges stay closed.
-	gaps      *reopen.Estimator
-	admission *admit.Limiter
-	permits   permits
+	// reopenEstimator estimates how long ranges stay closed.
+	reopenEstimator *reopen.Estimator
+	admission       *admit.Limiter
+	permits         permits
 	// bootDone is closed once requests no longer wait for the first lists from the store.
 	bootDone chan struct{}
 	boot     boot.Boot
 
-	latestSettings setup.Settings // passed to New or the last Reload; only some take effect without a restart
+	latestSettings setup.Settings // passed to New or to the last Reload, of which some only take effect after a restart
 	daemonCount    int
 	bucketLoads    map[bucketKey]bucketLoad
 	random         *rand.Rand
@@ -123,11 +123,11 @@
 	}
 	r.clientPool.names = p.Names()
 	r.burn = burn.New(r.now())
-	r.gaps = reopen.New()
+	r.reopenEstimator = reopen.New()
 	seed := seedOf(r.self)
 	r.admission = admit.NewLimiter(seed)
 	r.permits.issuer, r.permits.absentUntil, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
-	r.tableUpdated.Store(new(make(chan struct{})))
+	r.tableUpdateCh.Store(new(make(chan struct{})))
 	r.random = rand.New(rand.NewPCG(seed, 23))
 	r.spread = spread.New(seed, r.coldLimits().WithDaemons(1, 0))
 	r.current.Store((&snapshot{}).withFleet(fleet.New(nil), nil))
@@ -211,7 +211,7 @@
 	r.log.Info("router: stop", "running", r.callers.Running())
 	r.ready.Store(false)
 	r.callers.BeginShutdown()
-	r.post(leavingMsg{})
+	r.post(stoppingMsg{})
 	sleep(ctx, shutdownAcceptTime)
 	_ = l.Close()
 	r.callers.Shutdown(ctx)
@@ -300,7 +300,7 @@
 	l := r.current.Load().config.Limits
 	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
 	if out.MaxHeaderBytes <= 0 {
-		out = caller.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, ReadTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
+		out = caller.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, ReadTimeout: defaultReadTimeout, IdleTimeout: defaultIdleTimeout}
 		if r.settings.MaxBodyBytes > 0 {
 			out.MaxBodyBytes = r.settings.MaxBodyBytes
 		}
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -67,7 +67,7 @@
 // have run without its caller getting the response, the other daemons are informed: the caller
 // may send it again through any of them, possibly after the holder was lost.
 func (r *Router) recordSentOutcome(ctx context.Context, record sentRecord, repeated bool, resp *link.Response, err error) {
-	notRun := err != nil && link.NotRun(err) || err == nil && resp.NotRun
+	notRun := err != nil && link.NotRun(err) || err == nil && resp.Declined
 	unanswered := err != nil && !notRun || ctx.Err() != nil
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 		return
 	}
 	if link.KindOf(err) == link.ConnectionLost {
-		go r.post(urgentChangeMsg{}) // asynchronous, as the lock is held; urgent, as the holder may be lost
+		go r.post(propagateMsg{}) // at once, as the holder may be lost; asynchronously, as the lock is held
 	}
 }
 
@@ -104,8 +104,8 @@
 	return out
 }
 
-// mergeSent records requests that other daemons sent without getting a response, and forwards
-// the new ones with this daemon's gossip.
+// mergeSent records requests that other daemons sent and that may have run without a response,
+// and forwards the new ones with this daemon's gossip.
 func (r *Router) mergeSent(reported []*wire.Sent) {
 	if len(reported) == 0 {
 		return
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -58,7 +58,7 @@
 	Convey("A request that certainly did not run is forgotten, unless an earlier attempt may have run", t, func() {
 		r := newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errNotSent)
-		r.sendAndRecord(bookingRequest("b"), &link.Response{NotRun: true}, nil)
+		r.sendAndRecord(bookingRequest("b"), &link.Response{Declined: true}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
 		So(r.sendsFirstSent("a"), ShouldBeFalse)
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -22,14 +22,14 @@
 // further ones, as do the files of this package that use them. Logs and metrics use these
 // names.
 const (
-	reasonNoConfig      = "noConfiguration"
-	reasonCrashSuspect  = "crashesServers"
-	reasonNotHeldOrFull = "serverNotHoldingOrFull"
-	reasonAttemptFailed = "attemptFailed"
-	reasonNoRoute       = "noRoute"
-	reasonNoKey         = "missingKey"
-	reasonCallerLeft    = "callerLeft"
-	reasonOutcomeLost   = "outcomeLost"
+	reasonNoConfig           = "noConfiguration"
+	reasonCrashSuspect       = "crashesServers"
+	reasonDeclined           = "serverNotHoldingOrFull"
+	reasonAttemptFailed      = "attemptFailed"
+	reasonNoRoute            = "noRoute"
+	reasonNoKey              = "missingKey"
+	reasonCallerDisconnected = "callerLeft"
+	reasonOutcomeLost        = "outcomeLost"
 )
 
 // request is the state of one caller's request while it is served.
@@ -46,14 +46,14 @@
 	arrived      int        // attempts that may have reached a server
 	unsent       int        // attempts that reached no server
 	attemptStart time.Time  // of the current attempt
-	admitted     bool       // the limiter admitted it to the holder of its key
-	rangeOpensBy time.Time  // latest time at which its range opens, if the range is closed
+	admitted     bool       // the limits for overloaded holders admitted it
+	rangeOpensBy time.Time  // time by which its range very probably opens, if the range is closed
 	maybeRan     bool       // an earlier attempt may have run
 	permit       heldPermit // of the current attempt, if its server is contended
 	// permitsDenied is the number of servers for which a permit was denied.
 	permitsDenied int
-	// fallbackResponse is an error response from a server. The caller gets it if all
-	// further attempts fail without a response.
+	// fallbackResponse is an error response from a server. The caller gets it if no further
+	// attempt yields a response.
 	fallbackResponse *link.Response
 }
 
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -75,7 +75,7 @@
 	})
 	Convey("A request without a key excludes the server, unless that only declined with free slots", t, func() {
 		req, server := &request{key: -1}, fleet.Server{ID: "a"}
-		req.excludeFailed(server, &link.Response{NotRun: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
+		req.excludeFailed(server, &link.Response{Declined: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
 		So(req.requirements.Excluded, ShouldBeEmpty)
 		req.excludeFailed(server, nil)
 		So(req.requirements.Excluded, ShouldResemble, []string{"a"})
--- a/io/process/router/servers.go
+++ b/io/process/router/servers.go
@@ -33,12 +33,12 @@
 // serverChanges holds the IDs of the servers that a batch of updates changed, by the kind
 // of change, and the newest revision of the batch.
 type serverChanges struct {
-	added, restarted, draining, removed, unusable []string
-	revision                                      uint64
+	added, restarted, draining, removed, invalid []string
+	revision                                     uint64
 }
 
-// isUrgent reports whether other daemons should learn of the changes at once. An update
-// of a cold server's remaining cold time can wait for the next round of gossip.
+// isUrgent reports whether other daemons should learn of the changes at once. An entry that
+// only updates how long a server stays cold can wait for the next round of gossip.
 func (c serverChanges) isUrgent() bool {
 	return len(c.added)+len(c.restarted)+len(c.draining)+len(c.removed) > 0
 }
@@ -55,7 +55,7 @@
 		}
 		var next fleet.Server
 		if err := json.Unmarshal(it.Value, &next); err != nil {
-			changes.unusable = append(changes.unusable, it.Name)
+			changes.invalid = append(changes.invalid, it.Name)
 			delete(l.listed, it.Name)
 			delete(l.retained, it.Name)
 			continue
@@ -153,19 +153,19 @@
 
 // logServerChanges logs one line for all servers that changed together.
 func (c *control) logServerChanges(now time.Time, changes serverChanges) {
-	if !changes.isUrgent() && len(changes.unusable) == 0 {
+	if !changes.isUrgent() && len(changes.invalid) == 0 {
 		return
 	}
-	ids := slices.Concat(changes.unusable, changes.removed, changes.draining, changes.restarted, changes.added)
+	ids := slices.Concat(changes.invalid, changes.removed, changes.draining, changes.restarted, changes.added)
 	c.r.log.Info("servers: changed", "came", len(changes.added), "restarted", len(changes.restarted), "draining", len(changes.draining), "gone", len(changes.removed),
-		"notUsable", len(changes.unusable), "listed", len(c.serverList.listed), "ids", ids[:min(maxLoggedIDs, len(ids))],
+		"notUsable", len(changes.invalid), "listed", len(c.serverList.listed), "ids", ids[:min(maxLoggedIDs, len(ids))],
 		"revision", changes.revision, "age", now.Sub(c.caches[object.Servers].CurrentAt()).String(), "sinceOutage", formatSince(now, c.serverList.outageEndedAt))
 }
 
 // logEachServerChange logs a line for each server that changed. Only two daemons do so: the
 // one that read the change from the store, and the leader.
 func (c *control) logEachServerChange(now time.Time, changes serverChanges) {
-	for _, id := range changes.unusable {
+	for _, id := range changes.invalid {
 		c.r.log.Warn("servers: invalid entry", "server", id, "revision", changes.revision)
 	}
 	for _, id := range changes.removed {
@@ -196,10 +196,10 @@
 	c.updateFleet()
 }
 
-// applyOuts takes data centres out of service or back in. Servers of a data centre that
+// applyExclusions takes data centres out of service or back in. Servers of a data centre that
 // is taken back may have restarted shortly before, so they count as cold until their
 // entries say otherwise.
-func (c *control) applyOuts(changed []object.Item) {
+func (c *control) applyExclusions(changed []object.Item) {
 	for _, it := range changed {
 		c.r.log.Info("outs: changed", "dataCentre", it.Name, "out", !it.Removed, "revision", it.Revision)
 		if it.Removed {
@@ -212,12 +212,12 @@
 // updateFleet rebuilds the snapshot's list of servers, and drops the state of servers
 // that are no longer in the list.
 func (c *control) updateFleet() {
-	out := map[string]bool{}
+	excluded := map[string]bool{}
 	for _, it := range c.caches[object.Exclusions].List() {
-		out[it.Name] = true
+		excluded[it.Name] = true
 	}
 	f := fleet.New(c.serverList.list())
-	c.r.current.Store(c.r.current.Load().withFleet(f, out))
+	c.r.current.Store(c.r.current.Load().withFleet(f, excluded))
 	c.r.clientPool.closeRemoved(f)
 	c.r.mu.Lock()
 	c.r.spread.Prune(f)
--- a/io/process/router/snapshot.go
+++ b/io/process/router/snapshot.go
@@ -11,26 +11,26 @@
 
 // snapshot is the state by which requests are routed. It is immutable.
 type snapshot struct {
-	// configured means that config has been read.
+	// configured means that a configuration has been read into config.
 	configured bool
 	config     config.Config
 	// serving are the servers that may get new requests, by service.
-	serving        map[string][]fleet.Server
-	fleet          *fleet.Fleet
-	outDataCentres map[string]bool
-	table          grant.Table
+	serving             map[string][]fleet.Server
+	fleet               *fleet.Fleet
+	excludedDataCentres map[string]bool
+	table               grant.Table
 }
 
 // mayServe reports whether a server may get new requests.
 func (s *snapshot) mayServe(server fleet.Server) bool {
-	return !server.Draining && !s.outDataCentres[server.DataCentre]
+	return !server.Draining && !s.excludedDataCentres[server.DataCentre]
 }
 
 // withFleet returns a snapshot with other servers and other data centres that are out of
 // service.
-func (s *snapshot) withFleet(f *fleet.Fleet, outDataCentres map[string]bool) *snapshot {
+func (s *snapshot) withFleet(f *fleet.Fleet, excludedDataCentres map[string]bool) *snapshot {
 	next := *s
-	next.fleet, next.outDataCentres = f, outDataCentres
+	next.fleet, next.excludedDataCentres = f, excludedDataCentres
 	next.serving = map[string][]fleet.Server{}
 	for _, server := range f.All() {
 		if next.mayServe(server) {
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -115,7 +115,7 @@
 		}
 	}
 	own := &wire.StatusReply{Daemon: c.r.self.Name, DataCentre: c.r.self.DataCentre, Leader: s.table.Leader.Daemon,
-		StoredAgeMillis: ageMillis(now, newest), Config: s.config.Version, Stopping: c.leaving, Counters: counters}
+		StoredAgeMillis: ageMillis(now, newest), Config: s.config.Version, Stopping: c.stopping, Counters: counters}
 	return ownStatus{status: own, peers: c.members.AllPeers(now)}
 }
 
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// crashThreshold is the number of lost servers after which a request is refused. One loss
-	// may be a coincidence, but hardly three without a response in between.
+	// crashThreshold is the number of lost servers from which a request is refused. That one
+	// server is lost while the request runs may be a coincidence, but hardly that three are
+	// lost without a response in between.
 	crashThreshold = 3
-	// crashRetention is how long losses are remembered. A crashed server is back within
-	// seconds.
+	// crashRetention is how long after the last lost server a request remains a crash suspect.
+	// It is much longer than the seconds after which a crashed server is back.
 	crashRetention = time.Minute
 )
 
@@ -29,7 +30,8 @@
 	return digest.Sum64()
 }
 
-// recordLoss records that a server was lost while the request may have run there.
+// recordLoss records that a server was lost while the request may have run there: the
+// connection broke before a response. The request is then suspected of crashing servers.
 func (r *Router) recordLoss(req *request, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,19 +41,21 @@
 	}
 	r.suspectBuffer.add(now, &wire.Suspect{Fingerprint: req.fingerprint, Servers: []string{server}})
 	if r.suspects.ShouldRefuse(now, req.fingerprint) {
-		go r.post(urgentChangeMsg{}) // asynchronous, as the lock is held
+		go r.post(propagateMsg{}) // asynchronous, as the lock is held
 	}
 }
 
-// clearSuspicion clears a request that got a response: one that crashes servers never gets any.
-func (r *Router) clearSuspicion(req *request) {
+// clearSuspect forgets the servers that were lost while a request ran, since the request has
+// got a response: one that crashes servers never gets any.
+func (r *Router) clearSuspect(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.suspects.RecordAnswer(req.fingerprint)
 }
 
-// checkCrashSuspect reports whether a request is refused because servers were lost while it
-// ran. If there were fewer than crashThreshold, they become its last resort.
+// checkCrashSuspect reports whether a request is refused because at least crashThreshold servers
+// were lost while it ran. It also sets the request's LastResort to the lost servers, so that a
+// request that is not refused avoids them if it can.
 func (r *Router) checkCrashSuspect(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,16 +63,16 @@
 	return r.suspects.ShouldRefuse(time.Now(), req.fingerprint)
 }
 
-// recentSuspects returns the recent losses, for gossip.
+// recentSuspects returns the requests for which lost servers were recorded recently, for gossip.
 func (r *Router) recentSuspects() []*wire.Suspect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspectBuffer.list(time.Now())
 }
 
-// mergeLosses records losses that other daemons found and forwards the new ones with this
-// daemon's gossip. It reports whether a request is refused from now on.
-func (r *Router) mergeLosses(suspects []*wire.Suspect) (refused bool) {
+// mergeSuspects records servers that other daemons lost while requests ran, and forwards the new
+// ones with this daemon's gossip. It reports whether a request is refused from now on.
+func (r *Router) mergeSuspects(suspects []*wire.Suspect) (refused bool) {
 	if len(suspects) == 0 {
 		return false
 	}
