--- a/io/connection/caller/caller_test.go
+++ b/io/connection/caller/caller_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-// Guards against work that continues after its caller has disconnected.
+// Guards against a handler that keeps running after its caller has disconnected.
 func TestCallerDisconnects(t *testing.T) {
 	Convey("The request's context is cancelled when the connection is closed", t, func() {
 		cancelled := make(chan struct{})
--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -24,7 +24,7 @@
 	queue         chan *pendingRequest
 
 	mu      sync.Mutex
-	pending int
+	pending int // requests whose responses have not begun to be sent
 	// sending is set while a response is written. The connection must not be closed
 	// then, although no request is pending any more.
 	sending bool
@@ -32,9 +32,11 @@
 	closing bool
 	// reading is set while a request is read. The connection must not be closed then,
 	// although no request is pending yet.
-	reading     bool
+	reading bool
+	// openedAt and requestSeen decide whether a shutdown still waits for the first request.
+	// requestSeen is set once a request was read or its reading failed.
 	openedAt    time.Time
-	requestSeen bool // a request has been read
+	requestSeen bool
 }
 
 // pendingRequest is a request that waits for its response.
@@ -73,7 +75,8 @@
 	}
 }
 
-// awaitDisconnect cancels the context if the caller disconnects after its last request.
+// watchDisconnect starts a goroutine that cancels the context if the caller disconnects after
+// its last request. An expired read deadline, which lingeringClose sets, is not a disconnect.
 func (c *conn) watchDisconnect() {
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
@@ -89,9 +92,10 @@
 	p.resp = c.server.handler(c.ctx, r)
 }
 
-// admit counts a request that was read, and reports whether it is to be handled. During a
-// shutdown, no request is accepted while another is pending on the connection: a caller
-// that always pipelines would keep the connection busy until the process ends, and lose
+// addPending counts a request as pending, and reports whether it gets a response. It is called
+// for requests that were read, and for those that could not be read and get an error response.
+// During a shutdown, no request is accepted while another is pending on the connection: a
+// caller that always pipelines would keep the connection busy until the process ends, and lose
 // its last requests.
 func (c *conn) addPending() bool {
 	c.mu.Lock()
@@ -125,7 +129,7 @@
 	c.setReadTimeout(l.ReadTimeout)
 	c.limitedReader.setLimit(l.MaxHeaderBytes)
 	r, err := http.ReadRequest(c.reader)
-	c.limitedReader.setLimit(0)
+	c.limitedReader.setLimit(0) // readBody limits the body
 	if err != nil {
 		return nil, nil, err
 	}
@@ -165,7 +169,7 @@
 }
 
 var (
-	errConnEnded      = errors.New("caller: connection ended without a further request")
+	errConnEnded      = errors.New("caller: connection ended or is closing")
 	errHeaderTooLarge = errors.New("caller: request header too large")
 	errBodyTooLarge   = errors.New("caller: request body too large")
 )
@@ -196,8 +200,8 @@
 	c.queue <- p
 }
 
-// cancelRequests cancels the running requests of a connection that the caller has closed, or
-// that exceeded the idle timeout. In the latter case, it is expected to have none.
+// cancelRequests cancels the running requests of a connection that the caller has closed, that
+// failed, or that exceeded the idle timeout. After an idle timeout, normally none is running.
 func (c *conn) cancelRequests() {
 	c.mu.Lock()
 	c.closing, c.reading = true, false
@@ -250,20 +254,21 @@
 	c.sending = false
 }
 
-// drain closes the sending side and discards what the caller still sends. Closing the
-// connection with unread data would reset it, and the last response could be lost.
+// lingeringClose closes the sending side of the connection and discards what the caller still
+// sends. Closing the connection with unread data would reset it, and the last response could
+// be lost.
 func (c *conn) lingeringClose() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
 	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	for range c.queue { // after the last response, admit accepts no request
+	for range c.queue { // after the last response, addPending accepts no request
 	}
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
-// drainTimeout is how long the caller's close is awaited after the last response. It is
-// longer than a response takes to reach any caller.
+// lingerTimeout is how long lingeringClose waits for the caller to close the connection after
+// the last response. It is longer than a response takes to reach any caller.
 const lingerTimeout = 300 * time.Millisecond
 
 // closeIfIdle closes the connection unless a request or response is on it, or its first request
--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -43,7 +43,7 @@
 	ReadAt time.Time
 }
 
-// Refusal describes a response that comes from the daemon itself and not from a backend
+// Refusal describes a response that the daemon itself makes because it has none from a backend
 // server. A router.Protocol formats it.
 type Refusal struct {
 	ID     string
@@ -64,9 +64,10 @@
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// ReadTimeout is how long a request may take to arrive.
+	// ReadTimeout is how long a request may take to arrive completely, header and body, once
+	// its first byte has arrived.
 	ReadTimeout time.Duration
-	// IdleTimeout is how long a connection may stay open without a request.
+	// IdleTimeout is how long a connection may wait for the first byte of the next request.
 	IdleTimeout time.Duration
 }
 
@@ -141,7 +142,7 @@
 	}
 }
 
-// Abort closes all connections at once, as the end of the process would.
+// Abort closes all connections immediately, as the end of the process would.
 func (s *Server) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/connection/link/do.go
+++ b/io/connection/link/do.go
@@ -37,11 +37,12 @@
 	// Client sets.
 	Header http.Header
 	Body   []byte
-	// ID is the request ID. A response with another ID belongs to another request.
+	// ID is the request ID. A response that has another ID belongs to another request.
 	ID string
 	// TimeLeft is the time until the caller's deadline. It is sent to the server.
 	TimeLeft time.Duration
-	// ControlCall marks a call of the daemon itself, which carries no caller's deadline.
+	// ControlCall marks a call that the daemon makes on its own behalf, such as a grant. It
+	// has no caller's deadline to send.
 	ControlCall bool
 	// ExistingConnOnly sends the request on an idle connection or not at all, so that it
 	// reaches the same instance of the server as the previous request.
@@ -53,7 +54,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// NotRun means that the server states that it did not run the request.
+	// Declined means that the server states that it did not run the request.
 	Declined bool
 	// OutcomeLost means that a previous holder of the request's key may have run the request
 	// and that its outcome is lost.
--- a/io/connection/link/error.go
+++ b/io/connection/link/error.go
@@ -11,7 +11,7 @@
 
 // Kinds of errors.
 const (
-	ConnectionRefused Kind = "refused" // the address refuses connections
+	ConnectionRefused Kind = "refused" // the address refused the connection
 	NotSent           Kind = "notSent" // no byte of the request was written
 	ConnectFailed     Kind = "noWay"   // no connection could be established, for another reason
 	ConnectionLost    Kind = "unsure"  // the connection broke before the response header was complete
@@ -44,8 +44,8 @@
 }
 
 // ResetOnNewConn reports whether the server reset a connection on its first request, as
-// servers do that are full. On a reused connection, a reset may only mean that the server
-// has dropped the idle connection.
+// full servers do. On a reused connection, a reset may only mean that the server has closed
+// the idle connection.
 func ResetOnNewConn(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && !e.ReusedConn && errors.Is(err, syscall.ECONNRESET)
--- a/io/connection/link/link_test.go
+++ b/io/connection/link/link_test.go
@@ -126,7 +126,7 @@
 		So(err, ShouldBeNil)
 		So(resp.Status, ShouldEqual, 200)
 	})
-	Convey("A refusal marked as not run is recognised, and the load is parsed", t, func() {
+	Convey("A response that declines the request is recognised, and its load is parsed", t, func() {
 		s := startServer(t, respondWith("HTTP/1.1 503 No\r\nCatkinstep-Request-Id: ID\r\nCatkinstep-Not-Run: 1\r\nCatkinstep-Load: 3,2,3,100\r\nContent-Length: 0\r\n\r\n"))
 		resp, err := do(s.newClient(), "1")
 		So(err, ShouldBeNil)
@@ -157,7 +157,7 @@
 		So(err, ShouldNotBeNil)
 		So(NotRun(err), ShouldBeFalse)
 	})
-	Convey("A surplus response that follows the first is not returned to the next request", t, func() {
+	Convey("A surplus response after the first is not taken for the response to the next request", t, func() {
 		s := startServer(t, respondWith(completeResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"), respondWith(completeResponse))
 		client := s.newClient()
 		_, err := do(client, "1")
--- a/io/connection/mesh/compress.go
+++ b/io/connection/mesh/compress.go
@@ -12,10 +12,10 @@
 	"catkinstep/core/connection/wire"
 )
 
-// minCompressSize is the size in bytes from which replies are compressed. Uncompressed, a
-// large configuration took four seconds from a leader with a 10 Mbit/s link to the relays
-// of other data centres. Configurations compress well because names repeat: 1,640 generated
-// routes shrink from 316 KB to 24 KB. Smaller replies are not worth the processor time.
+// minCompressSize is the size in bytes from which replies are compressed. Smaller ones are not
+// worth the processor time. An uncompressed large configuration takes four seconds to reach the
+// relays of other data centres from a leader with a 10 Mbit/s link. Configurations compress well
+// because names repeat: one with 1,640 routes shrinks from 316 KB to 24 KB.
 const minCompressSize = 4 << 10
 
 // compress compresses a large reply. It returns the reply unchanged if it is small or
--- a/io/connection/mesh/error.go
+++ b/io/connection/mesh/error.go
@@ -10,7 +10,7 @@
 
 // Kinds of errors.
 const (
-	ConnectionRefused Kind = "refused" // the address refuses connections
+	ConnectionRefused Kind = "refused" // the address refused the connection
 	NotSent           Kind = "notSent" // the call was not written
 	OutcomeUnknown    Kind = "unsure"  // the call may have arrived
 	Remote            Kind = "remote"  // the other daemon returned an error, or a reply that cannot be decoded
--- a/io/connection/mesh/mesh.go
+++ b/io/connection/mesh/mesh.go
@@ -24,7 +24,8 @@
 const (
 	dialTimeout    = 300 * time.Millisecond
 	readBufferSize = 1024
-	// maxMessageSize is enough for the largest body with its headers, and for any object.
+	// maxMessageSize is the maximum size of a message in bytes. It suffices for the largest
+	// body with its headers, and for any object.
 	maxMessageSize = 4 << 20
 )
 
--- a/io/connection/mesh/pool.go
+++ b/io/connection/mesh/pool.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// session is the part of a session that a pool needs.
+// session is what a pool requires of the sessions that it keeps.
 type session interface {
 	comparable
 	IsClosed() bool
@@ -29,7 +29,7 @@
 }
 
 // get returns the open session for an address, and opens one if there is none. If the context
-// ends first, get returns an error and the attempt to open the session continues.
+// ends before the session is open, get returns an error, and the attempt to open it continues.
 func (p *pool[S]) get(ctx context.Context, address string) (S, error) {
 	var zero S
 	p.mu.Lock()
--- a/io/connection/mesh/shared_test.go
+++ b/io/connection/mesh/shared_test.go
@@ -105,7 +105,7 @@
 func (r *recordingConn) Read(p []byte) (int, error)  { return r.Buffer.Read(p) }
 func (r *recordingConn) Write(p []byte) (int, error) { return r.Buffer.Write(p) }
 
-// Guards against frames whose header and body are separated or written in the wrong order.
+// Guards against frames whose header and body are written separately or in the wrong order.
 func TestHeaderWaitsForBody(t *testing.T) {
 	Convey("A header is written with its body, and a frame without a body at once", t, func() {
 		out := &recordingConn{}
--- a/io/connection/plat/plat.go
+++ b/io/connection/plat/plat.go
@@ -48,7 +48,7 @@
 	// callTimeout is far above the few milliseconds that a call normally takes. A call that
 	// takes longer has failed, and is followed by a backoff.
 	callTimeout = 2 * time.Second
-	// callsPerSecond and callBurst limit the calls of a daemon under all circumstances.
+	// callsPerSecond and callBurst limit the rate of a daemon's calls in all circumstances.
 	callsPerSecond = 20
 	callBurst      = 40
 	maxObjectSize  = 1 << 20
@@ -146,8 +146,8 @@
 }
 
 // Watch waits until objects whose names have a prefix change after a revision, and returns
-// them, or none after the time to wait. After revision 0, it returns all such objects at
-// once. With a wait of zero, it returns without waiting.
+// the changed objects, or none if wait has passed. With revision 0, it returns all such
+// objects immediately. With a wait of zero, it does not wait for changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Changes, error) {
 	op := "watch " + prefix
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
--- a/io/connection/sock/sock.go
+++ b/io/connection/sock/sock.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Control returns a function for net.Dialer.Control that sets the TCP user timeout of new
-// connections.
+// Control returns a function for the Control field of net.Dialer that sets the TCP user timeout
+// of new connections.
 func Control(timeout time.Duration) func(network, address string, rc syscall.RawConn) error {
 	return func(_, _ string, rc syscall.RawConn) error { return setUserTimeoutOption(rc, timeout) }
 }
--- a/io/process/router/boot_test.go
+++ b/io/process/router/boot_test.go
@@ -15,10 +15,10 @@
 	"catkinstep/io/connection/caller"
 )
 
-// Guards against refusals by a daemon that has just started and will have read its
-// configuration in a moment.
+// Guards against a daemon that refuses requests just after its start, although it will have
+// read its configuration a moment later.
 func TestRequestsWaitForBoot(t *testing.T) {
-	ask := func(ctx context.Context, r *Router) <-chan int {
+	handleRequest := func(ctx context.Context, r *Router) <-chan int {
 		status := make(chan int, 1)
 		q := caller.Request{Request: httptest.NewRequest(http.MethodGet, "http://other/", nil), ReadAt: time.Now()}
 		go func() { status <- r.handle(ctx, q).Status }()
@@ -29,7 +29,7 @@
 	}
 	Convey("Requests wait until all lists are read", t, func() {
 		r := newTestRouter()
-		status := ask(context.Background(), r)
+		status := handleRequest(context.Background(), r)
 		v, err := json.Marshal(config.Config{Version: 4})
 		So(err, ShouldBeNil)
 		list(r, object.Config, object.Item{Name: "main", Revision: 9, Value: v})
@@ -41,18 +41,18 @@
 		}
 		list(r, object.Tables)
 		So(<-status, ShouldEqual, http.StatusNotFound)
-		So(<-ask(context.Background(), r), ShouldEqual, http.StatusNotFound)
+		So(<-handleRequest(context.Background(), r), ShouldEqual, http.StatusNotFound)
 	})
 	Convey("Requests are refused after a limited time if nothing can be read", t, func() {
 		r := newTestRouter()
-		status := ask(context.Background(), r)
+		status := handleRequest(context.Background(), r)
 		r.control.update(atSecond(2), tickMsg{})
 		So(<-status, ShouldEqual, http.StatusServiceUnavailable)
 	})
-	Convey("The wait ends when the caller leaves", t, func() {
+	Convey("The wait ends when the caller disconnects", t, func() {
 		r := newTestRouter()
 		ctx, cancel := context.WithCancel(context.Background())
-		status := ask(ctx, r)
+		status := handleRequest(ctx, r)
 		cancel()
 		So(<-status, ShouldEqual, http.StatusServiceUnavailable)
 	})
--- a/io/process/router/closed_test.go
+++ b/io/process/router/closed_test.go
@@ -44,8 +44,8 @@
 	return r
 }
 
-// Guards against callers that are asked to retry before their key's range opens, and are refused
-// again.
+// Guards against asking callers to retry before the range of their key opens, when they would be
+// refused again.
 func TestRetryAfterOfClosedRanges(t *testing.T) {
 	Convey("During a planned move, callers retry after the usual duration of a move", t, func() {
 		r := routerAfterMoves(900 * time.Millisecond)
@@ -73,12 +73,12 @@
 		_, choice := r.chooseHolder(r.current.Load(), req, time.Now())
 		return r, req, choice
 	}
-	Convey("A request with enough time waits, and proceeds once the range is open", t, func() {
+	Convey("A request with enough time waits, and is sent once the range is open", t, func() {
 		r, req, choice := start(time.Minute)
 		So(choice.Reason, ShouldEqual, reasonKeyMoving)
-		changed := *r.tableUpdateCh.Load()
+		tableUpdateCh := *r.tableUpdateCh.Load()
 		r.control.applyTable(atSecond(100.1), tableWithRange(91, false))
-		So(r.awaitRangeOpen(context.Background(), req, changed), ShouldBeTrue)
+		So(r.awaitRangeOpen(context.Background(), req, tableUpdateCh), ShouldBeTrue)
 		_, choice = r.chooseHolder(r.current.Load(), req, time.Now())
 		So(choice.Refused(), ShouldBeFalse)
 	})
@@ -86,7 +86,7 @@
 		r, req, _ := start(120 * time.Millisecond)
 		So(r.awaitRangeOpen(context.Background(), req, *r.tableUpdateCh.Load()), ShouldBeFalse)
 	})
-	Convey("The wait ends when the caller leaves", t, func() {
+	Convey("The wait ends when the caller disconnects", t, func() {
 		r, req, _ := start(time.Minute)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -62,8 +62,8 @@
 	return ok
 }
 
-// Guards against requests to a server that has left. A short failure to read the store was
-// taken for an outage, so the server was retained.
+// Guards against requests to a server that has ended. It was retained because a short failure to
+// read the store was taken for an outage.
 func TestRemovedServersAreDroppedAtOnce(t *testing.T) {
 	Convey("A server whose entry vanishes without an outage of the store is dropped at once", t, func() {
 		r := newTestRouter()
@@ -112,10 +112,10 @@
 	})
 }
 
-// Guards against more retries by all daemons together than allowed: daemons do not coordinate
-// each retry.
+// Guards against more retries by all daemons together than allowed, since daemons do not
+// coordinate each retry.
 func TestRetryBurstIsDividedAmongDaemons(t *testing.T) {
-	Convey("The bursts of all daemons together stay below the configured burst", t, func() {
+	Convey("The bursts of all daemons add up to less than the configured burst", t, func() {
 		r := newTestRouter()
 		So(r.retryBurst(), ShouldEqual, 1)
 		for _, name := range []string{"e", "f", "g", "h"} {
@@ -127,6 +127,7 @@
 	})
 }
 
+// Guards against grants that are valid for longer than the settings allow.
 func TestGrantTTLIsCapped(t *testing.T) {
 	Convey("A shorter limit in the settings shortens grants", t, func() {
 		r := New(setup.Settings{Name: "d", MaxGrantTTL: 2 * time.Second}, nil, stubProtocol{})
@@ -134,8 +135,8 @@
 	})
 }
 
-// Guards against a second holder of a key: a network partition that refused connections to the
-// first holder was taken for the end of that server.
+// Guards against a second holder of a key. A network partition that refused connections to the
+// first holder was taken for proof that this server had ended.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	Convey("A call whose connection is refused counts only as not sent", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,7 +161,7 @@
 
 // Guards against an invalid table in the store, written by another program, that stops all
 // requests with keys.
-func TestUnusableStoredTableIsDropped(t *testing.T) {
+func TestInvalidStoredTableIsDropped(t *testing.T) {
 	Convey("Only its revision is kept, for the conditional write that replaces it", t, func() {
 		for _, value := range []string{`{"epoch":3,"seq":1,"leader":{},"shares":5}`, `{"epoch":"x"}`, `{`} {
 			r := newTestRouter()
--- a/io/process/router/fetch_test.go
+++ b/io/process/router/fetch_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against changes that are delayed for seconds by one busy daemon, while other
-// daemons have them.
+// Guards against changes that arrive seconds late because they were requested from one busy
+// daemon, while other daemons have them.
 func TestSlowFetchIsSentToASecondDaemon(t *testing.T) {
 	Convey("A fetch that takes long is sent to a second daemon, but not to a third", t, func() {
 		f := pendingFetches{}
--- a/io/process/router/limits_test.go
+++ b/io/process/router/limits_test.go
@@ -9,8 +9,8 @@
 	"catkinstep/core/request/admit"
 )
 
-// limitsRefusingAll returns limits that refuse all requests for a bucket.
-func limitsRefusingAll(epoch, seq uint64) holderLimits {
+// limitsThatRefuseAll returns limits that refuse all requests for a bucket.
+func limitsThatRefuseAll(epoch, seq uint64) holderLimits {
 	return holderLimits{epoch: epoch, seq: seq, issuedAt: atSecond(100), bucketLimits: []admit.Limit{{Service: "s", Bucket: 0}}}
 }
 
@@ -19,12 +19,12 @@
 	Convey("The newest limits stay in force", t, func() {
 		r := newTestRouter()
 		r.control.applyLimits(atSecond(100), holderLimits{epoch: 2, seq: 5, issuedAt: atSecond(100)}, false)
-		for _, old := range []holderLimits{limitsRefusingAll(2, 4), limitsRefusingAll(2, 5), limitsRefusingAll(1, 9)} {
+		for _, old := range []holderLimits{limitsThatRefuseAll(2, 4), limitsThatRefuseAll(2, 5), limitsThatRefuseAll(1, 9)} {
 			r.control.applyLimits(atSecond(100), old, false)
 			_, ok := r.admit(lookupRequest(time.Second), time.Now())
 			So(ok, ShouldBeTrue)
 		}
-		r.control.applyLimits(atSecond(100), limitsRefusingAll(2, 6), false)
+		r.control.applyLimits(atSecond(100), limitsThatRefuseAll(2, 6), false)
 		_, ok := r.admit(lookupRequest(time.Second), time.Now())
 		So(ok, ShouldBeFalse)
 	})
@@ -37,7 +37,7 @@
 		req := lookupRequest(time.Second)
 		_, ok := r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
-		r.control.applyLimits(atSecond(100), limitsRefusingAll(1, 1), false)
+		r.control.applyLimits(atSecond(100), limitsThatRefuseAll(1, 1), false)
 		_, ok = r.admit(req, time.Now())
 		So(ok, ShouldBeTrue)
 	})
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -84,8 +84,8 @@
 	// responseMargin is how long after the caller's deadline this daemon still waits for a
 	// server's response.
 	responseMargin = 60 * time.Millisecond
-	// responseTransitTime is how long before the caller's deadline the server is told to
-	// respond, which leaves time for the transfer of the response.
+	// responseTransitTime is subtracted from the time until the caller's deadline, and the rest
+	// is sent to the server as the time it has. It covers the transfer of the response.
 	responseTransitTime = 3 * time.Millisecond
 	// maxIdleGrantConns is how many idle connections to a server are kept for grants, and as
 	// many again for releases.
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// startRequests takes requests to the point where they would be sent, and returns them and the
-// refusals of the others.
+// startRequests handles requests up to the point where they would be sent. It returns those
+// requests, and the refusals of the others.
 func startRequests(r *Router, count int) (sent []*request, refused []spread.Choice) {
 	for range count {
 		req := lookupRequest(time.Second)
@@ -82,8 +82,8 @@
 	})
 }
 
-// Guards against permits that are never released, which block a server until the deadlines of
-// their requests.
+// Guards against permits that are not released when an attempt ends. Until they expire, they
+// would keep other requests from the server.
 func TestPermitsAreReleased(t *testing.T) {
 	Convey("The permit of an attempt that has ended is released", t, func() {
 		r := contendedRouter()
@@ -116,8 +116,8 @@
 	return m
 }
 
-// Guards against a request that is refused for one long queue although other servers have free
-// capacity.
+// Guards against a request that is refused because of one long queue although other servers have
+// free capacity.
 func TestPermitDeniedTriesOtherServers(t *testing.T) {
 	Convey("A request tries a limited number of other servers", t, func() {
 		r := contendedRouter()
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -275,7 +275,7 @@
 }
 
 // retryBurst is this daemon's share of the burst of retries that all daemons may send
-// together. It is 1 for a daemon that knows no other. r.mu must be held.
+// together. It is 1 while this daemon knows no other. r.mu must be held.
 func (r *Router) retryBurst() float64 {
 	if r.daemonCount < 2 {
 		return 1
@@ -299,7 +299,7 @@
 func (r *Router) callerLimits() caller.Limits {
 	l := r.current.Load().config.Limits
 	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
-	if out.MaxHeaderBytes <= 0 {
+	if out.MaxHeaderBytes <= 0 { // the configuration sets no limits
 		out = caller.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, ReadTimeout: defaultReadTimeout, IdleTimeout: defaultIdleTimeout}
 		if r.settings.MaxBodyBytes > 0 {
 			out.MaxBodyBytes = r.settings.MaxBodyBytes
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -43,7 +43,7 @@
 )
 
 // Guards against a booking whose holder does not learn that it was sent before, and against a
-// booking that a holder refuses as sent before although it never was.
+// booking that a holder declines as sent before although it never was.
 func TestFirstSentHeader(t *testing.T) {
 	Convey("A request that was sent before and may have run has the header", t, func() {
 		r := newTestRouter()
@@ -134,7 +134,7 @@
 			So(other.unansweredSent(), ShouldBeEmpty)
 		})
 	})
-	Convey("A request whose caller left before the response is gossiped, too", t, func() {
+	Convey("A request whose caller disconnected before the response is gossiped, too", t, func() {
 		r := newTestRouter()
 		ctx, cancel := context.WithCancel(context.Background())
 		record, repeated := r.recordSent(bookingRequest("a"))
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -18,8 +18,8 @@
 	"catkinstep/io/connection/link"
 )
 
-// Guards against a healthy idle server that gets no requests because a kept connection broke:
-// only a failure to connect counts as unreachable.
+// Guards against a healthy idle server that gets no requests because a reused connection broke:
+// only a server to which no connection can be opened is unreachable.
 func TestOutcomesOfLinkErrors(t *testing.T) {
 	outcomeOf := func(k link.Kind) spread.Outcome {
 		return attemptOutcome(context.Background(), nil, &link.Error{Op: "do", Kind: k, Err: errors.New("broken pipe")})
@@ -44,11 +44,11 @@
 			requirements: spread.Requirements{Route: "look", LatencyTarget: 300 * time.Millisecond}}
 		r.recordArrival(req)
 		r.recordArrival(req)
-		heat, _ := r.takeCounts(nil, false)
-		So(heat, ShouldHaveLength, 1)
-		So(heat[0].Requests, ShouldEqual, 2)
-		So(heat[0].AimMillis, ShouldEqual, 600)
-		So(heat[0].WorkMillis, ShouldBeGreaterThan, 0)
+		keyCounts, _ := r.takeCounts(nil, false)
+		So(keyCounts, ShouldHaveLength, 1)
+		So(keyCounts[0].Requests, ShouldEqual, 2)
+		So(keyCounts[0].AimMillis, ShouldEqual, 600)
+		So(keyCounts[0].WorkMillis, ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -73,7 +73,7 @@
 		So(choice.Refused(), ShouldBeFalse)
 		So(server.ID, ShouldEqual, "a")
 	})
-	Convey("A request without a key excludes the server, unless that only declined with free slots", t, func() {
+	Convey("A request without a key excludes the server, unless the server declined with free slots", t, func() {
 		req, server := &request{key: -1}, fleet.Server{ID: "a"}
 		req.excludeFailed(server, &link.Response{Declined: true, Status: 503, Load: &link.Load{Running: 1, Slots: 3}})
 		So(req.requirements.Excluded, ShouldBeEmpty)
@@ -82,8 +82,8 @@
 	})
 }
 
-// Guards against a request that crashes one server after another, by its own retries or when
-// its caller submits it again.
+// Guards against a request that crashes one server after another, by the daemon's retries or
+// because its caller submits it again.
 func TestRequestsThatCrashServers(t *testing.T) {
 	afterLosses := func(servers ...string) (*Router, *request) {
 		r, req := newTestRouter(), lookupRequest(time.Second)
@@ -110,7 +110,7 @@
 // Guards against a new leader that assumes the usual speed for slow holders until they respond
 // again.
 func TestNewLeaderReceivesAllSlowdowns(t *testing.T) {
-	Convey("A leader gets each slowdown once, a new leader gets all of them", t, func() {
+	Convey("A leader gets each slowdown once, and a new leader gets all of them", t, func() {
 		r := newTestRouter()
 		setEpoch := func(epoch uint64) {
 			r.current.Store(r.current.Load().withConfig(config.Config{Services: []config.Service{{Name: "s", Keyed: true}}}).withTable(grant.Table{Epoch: epoch}))
@@ -134,7 +134,7 @@
 	})
 }
 
-// Guards against reports that are dropped because they only contain server statistics.
+// Guards against dropping reports that contain only server statistics.
 func TestServerStatsAreSentWithoutKeyCounts(t *testing.T) {
 	Convey("Server statistics without request counts are sent", t, func() {
 		So(hasCounts(&wire.Gossip{Paces: []*wire.Pace{{Server: "a"}}}), ShouldBeTrue)
--- a/io/process/router/servers_test.go
+++ b/io/process/router/servers_test.go
@@ -12,8 +12,8 @@
 	"catkinstep/core/version/object"
 )
 
-// Guards against a log line from every daemon for every server, which would crowd out the
-// lines about requests.
+// Guards against a log line for every server from every daemon, which would crowd out the
+// lines about requests. Only the leader and the daemon that read the store log each server.
 func TestServerChangesAreLoggedTogether(t *testing.T) {
 	Convey("Hundreds of servers that are added or removed together are logged in one line", t, func() {
 		var logged bytes.Buffer
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -9,9 +9,8 @@
 )
 
 const (
-	// crashThreshold is the number of lost servers from which a request is refused. That one
-	// server is lost while the request runs may be a coincidence, but hardly that three are
-	// lost without a response in between.
+	// crashThreshold is the number of lost servers at which a request is refused. The loss of
+	// one server may be a coincidence, but hardly that of three without a response in between.
 	crashThreshold = 3
 	// crashRetention is how long after the last lost server a request remains a crash suspect.
 	// It is much longer than the seconds after which a crashed server is back.
