--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -43,7 +43,7 @@
 )
 
 // Guards against a booking whose holder does not learn that it was sent before, and against a
-// booking that a holder refuses as sent before although it never was.
+// booking that a holder declines as sent before although it never was.
 func TestFirstSentHeader(t *testing.T) {
 	Convey("A request that was sent before and may have run has the header", t, func() {
 		r := newTestRouter()
@@ -58,7 +58,7 @@
 	Convey("A request that certainly did not run is forgotten, unless an earlier attempt may have run", t, func() {
 		r := newTestRouter()
 		r.sendAndRecord(bookingRequest("a"), nil, errNotSent)
-		r.sendAndRecord(bookingRequest("b"), &link.Response{NotRun: true}, nil)
+		r.sendAndRecord(bookingRequest("b"), &link.Response{Declined: true}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
 		So(r.sendsFirstSent("a"), ShouldBeFalse)
@@ -134,7 +134,7 @@
 			So(other.unansweredSent(), ShouldBeEmpty)
 		})
 	})
-	Convey("A request whose caller left before the response is gossiped, too", t, func() {
+	Convey("A request whose caller disconnected before the response is gossiped, too", t, func() {
 		r := newTestRouter()
 		ctx, cancel := context.WithCancel(context.Background())
 		record, repeated := r.recordSent(bookingRequest("a"))
