--- a/core/connection/names/names.go
+++ b/core/connection/names/names.go
@@ -9,15 +9,15 @@
 
 // Names are header names in their canonical form.
 type Names struct {
-	// ID identifies one attempt of a caller; servers echo it.
+	// ID identifies a request; servers echo it in their responses.
 	ID string
-	// Timeout is how many milliseconds the sender of the request will wait for the answer.
+	// Timeout is how many milliseconds the sender of the request will wait for the response.
 	Timeout string
-	// Instance is the server instance that a request is meant for; any other one refuses it.
+	// Instance is the server instance that a request is meant for; any other one declines it.
 	Instance string
-	// Signature marks an answer that comes from the server itself.
+	// Signature marks a response that comes from the server itself.
 	Signature string
-	// NotRun marks the refusal of a request that did not run.
+	// NotRun marks the response of a server that declined the request.
 	NotRun string
 	// Load holds four numbers: running requests, waiting requests, slots, and the current
 	// service time in percent of the typical one.
@@ -29,7 +29,7 @@
 	// FirstSent is how many milliseconds ago a request that must run at most once was first
 	// sent under its ID. It is empty where servers do not remember IDs.
 	FirstSent string
-	// OutcomeLost marks the answer to a request that must run at most once, but may have run
+	// OutcomeLost marks the response to a request that must run at most once, but may have run
 	// on an earlier holder of its key that was lost.
 	OutcomeLost string
 }
--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -24,33 +24,33 @@
 }
 
 // RecordLoss records servers that were lost while a request ran. It reports whether any of them
-// was new, which other daemons need to know.
+// had not been recorded for the request, so that the other daemons need to know.
 func (s *Suspects) RecordLoss(now time.Time, fingerprint uint64, servers ...string) (changed bool) {
-	for f, v := range s.requests {
-		if now.Sub(v.lastLossAt) > s.retention {
+	for f, entry := range s.requests {
+		if now.Sub(entry.lastLossAt) > s.retention {
 			delete(s.requests, f)
 		}
 	}
 	if len(servers) == 0 {
 		return false
 	}
-	v := s.requests[fingerprint]
-	v.servers = slices.Clone(v.servers)
+	entry := s.requests[fingerprint]
+	entry.servers = slices.Clone(entry.servers)
 	for _, server := range servers {
-		if !slices.Contains(v.servers, server) {
-			v.servers = append(v.servers, server)
-			v.lastLossAt = now
+		if !slices.Contains(entry.servers, server) {
+			entry.servers = append(entry.servers, server)
+			entry.lastLossAt = now
 			changed = true
 		}
 	}
-	s.requests[fingerprint] = v
+	s.requests[fingerprint] = entry
 	return changed
 }
 
-// RecordAnswer clears a request that was answered, and reports whether it had been suspected.
-// A request that crashes servers does so each time. A frequent request, which is often in flight
-// when servers are lost for other reasons, is answered in between.
-func (s *Suspects) RecordAnswer(fingerprint uint64) (cleared bool) {
+// RecordResponse clears a request to which a server responded, and reports whether it had been
+// suspected. A request that crashes servers does so each time. A frequent request is often in
+// flight when servers are lost for other reasons, but gets responses in between.
+func (s *Suspects) RecordResponse(fingerprint uint64) (cleared bool) {
 	_, cleared = s.requests[fingerprint]
 	delete(s.requests, fingerprint)
 	return cleared
@@ -58,8 +58,8 @@
 
 // ShouldRefuse reports whether a request must not be sent to servers any more.
 func (s *Suspects) ShouldRefuse(now time.Time, fingerprint uint64) bool {
-	v, ok := s.requests[fingerprint]
-	return ok && len(v.servers) >= s.threshold && now.Sub(v.lastLossAt) <= s.retention
+	entry, ok := s.requests[fingerprint]
+	return ok && len(entry.servers) >= s.threshold && now.Sub(entry.lastLossAt) <= s.retention
 }
 
 // LostServers returns the servers that were lost while a request ran.
--- a/core/request/crash/crash_test.go
+++ b/core/request/crash/crash_test.go
@@ -25,12 +25,12 @@
 // while it ran.
 func TestFrequentRequestIsNotSuspected(t *testing.T) {
 	now := time.Unix(1000, 0)
-	Convey("An answer clears the request", t, func() {
+	Convey("A response clears the request", t, func() {
 		s := New(2, time.Minute)
 		s.RecordLoss(now, 7, "a")
-		So(s.RecordAnswer(7), ShouldBeTrue)
+		So(s.RecordResponse(7), ShouldBeTrue)
 		s.RecordLoss(now, 7, "b")
 		So(s.ShouldRefuse(now, 7), ShouldBeFalse)
-		So(s.RecordAnswer(8), ShouldBeFalse)
+		So(s.RecordResponse(8), ShouldBeFalse)
 	})
 }
--- a/core/request/crash/doc.go
+++ b/core/request/crash/doc.go
@@ -7,9 +7,9 @@
 //	s := crash.New(2, 10*time.Minute)
 //	s.RecordLoss(now, fingerprint, "127.0.0.9:9000")
 //	if s.ShouldRefuse(now, fingerprint) { ... }
-//	s.RecordAnswer(fingerprint) // the request does not crash servers after all
+//	s.RecordResponse(fingerprint) // a server responded, so the request does not crash servers
 //
 // Fingerprints are hashes of a request's content, so that a caller which makes a new ID for
 // each attempt is recognised too. Suspects are not safe for concurrent use, and their
-// functions return no errors.
+// methods return no errors.
 package crash
--- a/core/request/permit/permit_test.go
+++ b/core/request/permit/permit_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestAcquire(t *testing.T) {
-	Convey("Permits are granted while an answer can come in time", t, func() {
+	Convey("Permits are granted while a response can come in time", t, func() {
 		i, granted := NewIssuer(1), uint64(0)
 		for id := range uint64(20) {
 			d := i.Acquire(t0, newRequest(id))
@@ -79,7 +79,7 @@
 }
 
 // simulate sends requests with Poisson arrivals to one server of three slots, and returns the
-// fraction that is answered within the latency target. Callers leave after twice that time, which
+// fraction that is answered within the latency target. Callers give up after twice that time, which
 // cancels their requests at the server. Permits take a round trip between data centres.
 func simulate(offeredLoad float64, issuer *Issuer) float64 {
 	const serviceTime, latencyTarget, networkDelay, duration = 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Millisecond, 500 * time.Second
@@ -104,12 +104,12 @@
 		}
 		slot := slices.Index(slotFreeAt, slices.Min(slotFreeAt))
 		startsAt := max(at+networkDelay, slotFreeAt[slot])
-		leavesAt := at + 2*latencyTarget
-		if startsAt >= leavesAt {
-			releases = append(releases, release{leavesAt, id})
+		givesUpAt := at + 2*latencyTarget
+		if startsAt >= givesUpAt {
+			releases = append(releases, release{givesUpAt, id})
 			continue
 		}
-		doneAt := min(leavesAt, startsAt+time.Duration(random.ExpFloat64()*float64(serviceTime)))
+		doneAt := min(givesUpAt, startsAt+time.Duration(random.ExpFloat64()*float64(serviceTime)))
 		slotFreeAt[slot] = doneAt
 		if doneAt-at <= latencyTarget {
 			onTime++
@@ -122,8 +122,8 @@
 	return float64(onTime) / float64(sent)
 }
 
-// Guards against a server that works for callers who have left, because each of hundreds of
-// daemons does not see the requests of the others.
+// Guards against a server that runs requests whose callers have given up, because each of hundreds
+// of daemons does not see the requests of the others.
 func TestOverloadedServer(t *testing.T) {
 	Convey("Permits raise the fraction answered in time by half under overload, and keep it at a low load", t, func() {
 		for _, offeredLoad := range []float64{1.1, 1.4} {
--- a/core/request/retry/doc.go
+++ b/core/request/retry/doc.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed request may be sent again, and limits the retries of
-// all requests by a budget.
+// Package retry decides whether a failed request may be sent again, and limits a daemon's retries
+// by a budget that all its requests share.
 //
 // # Usage
 //
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -9,8 +9,8 @@
 
 // Guards against a second run of a request that is not idempotent and may have run.
 func TestRetryable(t *testing.T) {
-	failed := State{Arrived: 1, MaxAttempts: 2, TimeLeft: time.Second, MinLatency: 100 * time.Millisecond}
-	for _, v := range []struct {
+	failed := State{SentAttempts: 1, MaxAttempts: 2, TimeLeft: time.Second, MinLatency: 100 * time.Millisecond}
+	for _, tc := range []struct {
 		name   string
 		change func(s *State)
 		want   bool
@@ -19,27 +19,27 @@
 		{"an idempotent request after an earlier attempt that may have run", func(s *State) { s.Idempotent, s.MaybeRan = true, true }, true},
 		{"a request that is not idempotent and may have run", func(*State) {}, false},
 		{"a request that is not idempotent and certainly did not run", func(s *State) { s.NotRun = true }, true},
-		{"a refused request that is not idempotent, after an attempt that may have run", func(s *State) { s.NotRun, s.MaybeRan = true, true }, false},
-		{"no attempt is left", func(s *State) { s.Idempotent, s.Arrived = true, 2 }, false},
+		{"a declined request that is not idempotent, after an attempt that may have run", func(s *State) { s.NotRun, s.MaybeRan = true, true }, false},
+		{"no attempt is left", func(s *State) { s.Idempotent, s.SentAttempts = true, 2 }, false},
 		{"a route without a number of attempts allows one", func(s *State) { s.Idempotent, s.MaxAttempts = true, 0 }, false},
-		{"two connections were refused and one attempt arrived", func(s *State) { s.Idempotent, s.Unsent = true, 2 }, true},
-		{"the limit of attempts that reach no server", func(s *State) { s.Idempotent, s.Arrived, s.Unsent = true, 0, maxUnsent }, false},
+		{"two connections were refused and one attempt was sent", func(s *State) { s.Idempotent, s.UnsentAttempts = true, 2 }, true},
+		{"the limit of attempts that reach no server", func(s *State) { s.Idempotent, s.SentAttempts, s.UnsentAttempts = true, 0, maxUnsentAttempts }, false},
 		{"too many servers were lost while they ran the request", func(s *State) { s.Idempotent, s.CrashSuspect = true, true }, false},
-		{"no answer can come in time", func(s *State) { s.Idempotent, s.TimeLeft = true, 100*time.Millisecond }, false},
+		{"no response can come in time", func(s *State) { s.Idempotent, s.TimeLeft = true, 100*time.Millisecond }, false},
 	} {
-		Convey(v.name, t, func() {
+		Convey(tc.name, t, func() {
 			s := failed
-			v.change(&s)
-			So(s.Retryable(), ShouldEqual, v.want)
+			tc.change(&s)
+			So(s.Retryable(), ShouldEqual, tc.want)
 		})
 	}
 }
 
 // Guards against refused connections that use up a daemon's retry budget.
 func TestUnsentAttemptsUseNoBudget(t *testing.T) {
-	Convey("Only an attempt after one that arrived uses the budget", t, func() {
-		So(State{Unsent: 2}.UsesBudget(), ShouldBeFalse)
-		So(State{Arrived: 1}.UsesBudget(), ShouldBeTrue)
+	Convey("Only a retry after an attempt that may have reached a server uses the budget", t, func() {
+		So(State{UnsentAttempts: 2}.UsesBudget(), ShouldBeFalse)
+		So(State{SentAttempts: 1}.UsesBudget(), ShouldBeTrue)
 	})
 }
 
--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -14,7 +14,7 @@
 // surcharges for servers that other daemons prefer and for servers in other data
 // centres. Failing servers are rarely chosen. If a local server can serve the request
 // now, remote servers are not considered: large sites have hundreds of them, and a
-// remote answer uses bandwidth between data centres.
+// remote response uses bandwidth between data centres.
 func (b *Balancer) Choose(now time.Time, req Requirements, servers []fleet.Server) Choice {
 	if len(req.LastResort) > 0 {
 		preferred := req
@@ -68,7 +68,7 @@
 func (b *Balancer) preferenceCost(req Requirements, local bool, rank int) float64 {
 	cost := rankCost * float64(min(maxRank, rank)) * b.typicalSeconds(req)
 	if !local {
-		cost += remoteCostPerKB.Seconds() * b.routeStats(req).answerKB
+		cost += remoteCostPerKB.Seconds() * b.routeStats(req).responseKB
 	}
 	return cost
 }
@@ -132,7 +132,7 @@
 }
 
 // latencyBudget returns how long a queued request may take in total. It is less than the
-// latency target, since a late answer is worth little and its slot could have served another
+// latency target, since a late reply is of little use and its slot could have served another
 // request in time. Less urgent requests have smaller budgets, so they are refused first.
 func (b *Balancer) latencyBudget(req Requirements) time.Duration {
 	share := 0.95 - 0.1*float64(min(req.Priority, 3))
--- a/core/request/spread/doc.go
+++ b/core/request/spread/doc.go
@@ -3,7 +3,7 @@
 // it in time.
 //
 // Each daemon decides on its own from three sources: its own measurements, the
-// load that servers report with their answers, and the numbers of requests in
+// load that servers report with their responses, and the numbers of requests in
 // flight from the other daemons of its data centre. The expected latency at a
 // server is the typical service time of the route multiplied by the server's slowdown.
 // Once all slots are taken, each request ahead in the queue adds a share of that time.
--- a/core/request/spread/learn.go
+++ b/core/request/spread/learn.go
@@ -9,37 +9,37 @@
 // routeStats holds the measurements of a route.
 type routeStats struct {
 	typicalSeconds float64 // service time at a server with a slowdown of 1
-	answerKB       float64 // mean size of an answer
-	answers        int
+	responseKB     float64 // mean size of a response
+	responses      int
 }
 
 // ServerStats is the measured slowdown and load of a server.
 type ServerStats struct {
 	Server string
-	// Slowdown is the mean service time relative to a server of typical speed, and Answers is
-	// the number of answers that it is based on.
-	Slowdown float64
-	Answers  int
+	// Slowdown is the mean service time relative to a server of typical speed, and Responses
+	// is the number of responses that it is based on.
+	Slowdown  float64
+	Responses int
 	// LoadReports counts the reports of the server's load since the stats were last taken,
 	// and LongQueueReports those of them with at least as many requests waiting as there are
-	// slots. Requests turned away because the server was full count in both.
+	// slots. Requests that were not run because the server was full count in both.
 	LoadReports, LongQueueReports int
 }
 
 // TakeStats returns the stats gathered since the last call, in no particular order, and
-// resets the counts. With all set, the slowdowns cover earlier answers as well, for a
+// resets the counts. With all set, the slowdowns cover earlier responses as well, for a
 // receiver that has no stats yet.
 func (b *Balancer) TakeStats(all bool) []ServerStats {
 	var out []ServerStats
 	for id, st := range b.servers {
-		stats := ServerStats{Server: id, Answers: st.newSlowdowns, LoadReports: st.loadReports, LongQueueReports: st.longQueueReports}
+		stats := ServerStats{Server: id, Responses: st.newSlowdowns, LoadReports: st.loadReports, LongQueueReports: st.longQueueReports}
 		switch {
 		case all:
-			stats.Slowdown, stats.Answers = st.slowdown, st.slowdownSamples
+			stats.Slowdown, stats.Responses = st.slowdown, st.slowdownSamples
 		case st.newSlowdowns > 0:
 			stats.Slowdown = st.newSlowdownSum / float64(st.newSlowdowns)
 		}
-		if stats.Answers > 0 || stats.LoadReports > 0 {
+		if stats.Responses > 0 || stats.LoadReports > 0 {
 			out = append(out, stats)
 		}
 		st.loadReports, st.longQueueReports, st.newSlowdowns, st.newSlowdownSum = 0, 0, 0, 0
@@ -63,7 +63,7 @@
 
 // currentSlowdown returns the expected slowdown of a server. A request that has been in
 // flight for much longer than typical raises it at once, since a server that has become
-// very slow sends no answers from which to update the estimate.
+// very slow sends no responses from which to update the estimate.
 func (b *Balancer) currentSlowdown(now time.Time, st *serverState, typicalSeconds float64) float64 {
 	estimate := st.slowdown
 	if st.reportedSlowdown.known() {
@@ -75,33 +75,33 @@
 	return min(maxSlowdown, estimate)
 }
 
-// recordAnswer updates the route's answer size and typical service time, and the server's
+// recordResponse updates the route's response size and typical service time, and the server's
 // slowdown.
-func (b *Balancer) recordAnswer(req Requirements, st *serverState, took time.Duration, report *Report) {
+func (b *Balancer) recordResponse(req Requirements, st *serverState, took time.Duration, report *Report) {
 	if report != nil {
 		stats := b.routeStats(req)
-		stats.answerKB += answerWeight * (float64(report.Bytes)/1024 - stats.answerKB)
+		stats.responseKB += responseWeight * (float64(report.Bytes)/1024 - stats.responseKB)
 	}
 	if report != nil && report.Waiting > 0 {
-		return // The request may have queued, so its time says little about the service time.
+		return // the request may have queued, so its latency says little about the service time
 	}
 	stats := b.routeStats(req)
 	t := took.Seconds()
 	slowdown := b.slowdownDuring(st, stats, t, report)
 	st.slowdownSamples = min(st.slowdownSamples+1, maxSlowdownSamples)
-	stats.answers++
-	weight := max(answerWeight/4, 1/float64(stats.answers+1))
+	stats.responses++
+	weight := max(responseWeight/4, 1/float64(stats.responses+1))
 	stats.typicalSeconds += weight * (t/slowdown - stats.typicalSeconds)
 	stats.typicalSeconds = max(0.001, stats.typicalSeconds)
 }
 
 // slowdownDuring returns the server's slowdown during a request that took t seconds. It is
-// the reported one if there is one, else an estimate from the times of its answers.
+// the reported one if there is one, else an estimate from the times of its responses.
 func (b *Balancer) slowdownDuring(st *serverState, stats *routeStats, t float64, report *Report) float64 {
 	if report != nil && report.Slowdown > 0 {
 		return report.Slowdown
 	}
-	st.slowdown += answerWeight * (t/stats.typicalSeconds - st.slowdown)
+	st.slowdown += responseWeight * (t/stats.typicalSeconds - st.slowdown)
 	st.slowdown = max(minSlowdown, min(maxSlowdown, st.slowdown))
 	st.addSlowdown(st.slowdown)
 	return st.slowdown
@@ -110,7 +110,7 @@
 func (b *Balancer) routeStats(req Requirements) *routeStats {
 	stats := b.routes[req.Route]
 	if stats == nil {
-		stats = &routeStats{typicalSeconds: initialTimeShare * req.LatencyTarget.Seconds(), answerKB: initialAnswerKB}
+		stats = &routeStats{typicalSeconds: initialTimeShare * req.LatencyTarget.Seconds(), responseKB: initialResponseKB}
 		b.routes[req.Route] = stats
 	}
 	return stats
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -4,22 +4,24 @@
 
 const (
 	// initialTimeShare is the assumed typical service time of a route before its first
-	// answer, as a share of its latency target.
+	// response, as a share of its latency target.
 	initialTimeShare = 0.5
-	// answerWeight is the weight of one answer in a server's slowdown and in the mean answer
-	// size. The least weight in a route's typical service time is a quarter of it.
-	answerWeight = 0.08
-	// maxSlowdownSamples is the maximum number of answers that a server's slowdown is
-	// reported to be based on: with the weight above, older ones contribute little.
+	// responseWeight is the weight of one response in the moving averages of a server's
+	// slowdown and of a route's response size. In the average of a route's service time, which
+	// many servers contribute to, one response has at least a quarter of this weight.
+	responseWeight = 0.08
+	// maxSlowdownSamples limits the number of responses on which a server's slowdown is
+	// reported to be based. With responseWeight, older ones contribute little to the average.
 	maxSlowdownSamples = 25
-	// outcomeWeight is the weight of one outcome in the failure rate.
+	// outcomeWeight is the weight of one outcome in the moving average of a server's failures.
 	outcomeWeight = 0.15
-	// reportDecay is the age at which a report of a server's load has half its weight. It is
-	// about the service time of a request, after which the queue has changed.
-	reportDecay = 400 * time.Millisecond
-	// peerLoadValidity is how long another daemon's count of its requests is used: until
-	// the next count is due in a data centre of twenty daemons.
-	peerLoadValidity = 2 * reportDecay
+	// reportHalfWeightAge is the age at which a report of a server's load has half its weight.
+	// It is about the service time of a request, after which the queue has changed.
+	reportHalfWeightAge = 400 * time.Millisecond
+	// peerLoadValidity is how long another daemon's count of its requests is used. The
+	// interval between two counts grows with the number of daemons in the data centre. Up to
+	// twenty daemons, a count is used until the next one has arrived.
+	peerLoadValidity = 2 * reportHalfWeightAge
 	// maxLocalSlowdown is the slowdown from which a local server with a free slot no longer
 	// keeps remote servers from being considered. Servers of one service differ in speed by
 	// a factor of up to three.
@@ -28,50 +30,54 @@
 	// favour or exclude the server for long.
 	maxSlowdown = 25.0
 	minSlowdown = 0.25
-	// remoteCostPerKB is the time that a remote server must save for each kilobyte of its
-	// answer. It represents the price of traffic between data centres; the network latency
-	// itself is only a millisecond or two.
+	// remoteCostPerKB is the surcharge on the cost of a remote server for each kilobyte of its
+	// response. Costs are in units of time, so a remote server is chosen only if it is faster
+	// by this much. The surcharge stands for the price of traffic between data centres; the
+	// network latency, which is only a millisecond or two, needs none.
 	remoteCostPerKB = 100 * time.Millisecond
-	// rankCost is the cost of a server for each group of daemons that prefers it more than
-	// this one does, as a share of the typical service time. It grows up to maxRank only:
-	// beyond that, a server that looks idle may equally well have a queue of requests from
-	// other daemons.
+	// rankCost is the surcharge on the cost of a server for each rank that it has for this
+	// daemon (see package subset), as a share of the typical service time. All ranks from
+	// maxRank on have the same surcharge: at such servers, which other daemons prefer, an idle
+	// look says equally little about the queue.
 	rankCost = 0.4
 	maxRank  = 3
 	// earlyResetShare is the share of the typical service time within which a connection
 	// reset means that the server accepts no more requests. A later reset means that the
 	// server was lost while it ran the request.
 	earlyResetShare = 0.1
-	// initialAnswerKB is the assumed answer size of a route before its first answer.
-	initialAnswerKB = 1.0
-	// jitter randomises the costs, so that daemons with the same information spread over
-	// servers of about equal cost.
+	// initialResponseKB is the assumed response size of a route before its first response.
+	initialResponseKB = 1.0
+	// jitter is the largest random increase of a cost, as a share of it. It spreads daemons
+	// with the same information over servers of about equal cost.
 	jitter = 0.15
 	// failingThreshold is the failure rate above which a server gets only a few requests, as
 	// probes.
 	failingThreshold = 0.35
 	// probeShare is the share of requests that may be sent to a failing server as probes.
 	probeShare = 0.04
-	// refusedPause is how long no requests are sent to a server that refused a connection.
-	refusedPause = 400 * time.Millisecond
+	// connectionRefusedPause is how long no requests are sent to a server that refused a
+	// connection.
+	connectionRefusedPause = 400 * time.Millisecond
 	// connectFailedPause is how long no requests are sent to a server after a connection
 	// attempt failed. Then a single request tries again, since each attempt may delay its
 	// caller by the full connection timeout.
 	connectFailedPause = 300 * time.Millisecond
-	// minRetryAfter is the minimum retry delay of a refusal, before it is randomised.
+	// minRetryAfter is the shortest delay after which a caller whose request this daemon
+	// refused is asked to retry, before the delay is randomised.
 	minRetryAfter = 60 * time.Millisecond
-	// coldBurstShare is the share of a cold server's limit beyond its steady rate that the
-	// bursts of all daemons may use together.
+	// coldBurstShare is the share of a cold server's allowance that the bursts of all daemons
+	// may use together. The allowance is what the limit in Limits permits beyond ColdRate.
 	coldBurstShare = 0.75
-	// assumedColdTime is how long a server that may have restarted counts as cold, unless
-	// its entry says how long it is cold.
+	// assumedColdTime is how long a server that may have restarted counts as cold, unless its
+	// entry in the server list says how long it stays cold.
 	assumedColdTime = 3 * time.Second
 )
 
-// Limits bound the load that all daemons of a site together may put on a server.
+// Limits are the limits on the load of a server, and what a daemon needs to know in order to
+// compute its share of them: the number of daemons and its own position.
 type Limits struct {
-	// ColdFactor and ColdSlack limit the requests to a cold server to
-	// ColdRate*ColdFactor+ColdSlack in any second.
+	// ColdFactor and ColdSlack limit the requests that all daemons of the site together send
+	// to a cold server to ColdRate*ColdFactor+ColdSlack in any second.
 	ColdFactor float64
 	ColdSlack  float64
 	// Daemons is the number of daemons of the site.
--- a/core/request/spread/overload_test.go
+++ b/core/request/spread/overload_test.go
@@ -14,12 +14,12 @@
 	return float64(sim.inTime) / float64(sim.offered)
 }
 
-// Guards against an overload in which no requests are refused and nearly all answers are late.
+// Guards against an overload in which no requests are refused and nearly all replies are late.
 func TestOverloadIsRefusedInTime(t *testing.T) {
 	Convey("At 1.5 times the capacity, most requests are answered in time or refused at once", t, func() {
-		const capacity = 350
+		const capacityPerSecond = 350
 		sim := newSimulation(32, 40, 240*time.Millisecond, 660*time.Millisecond)
-		sim.run(1.5*capacity, 30*time.Second)
+		sim.run(1.5*capacityPerSecond, 30*time.Second)
 		t.Logf("%d offered, %d in time, %d late, %d refused", sim.offered, sim.inTime, sim.late, sim.refused)
 		So(sim.refused, ShouldBeGreaterThan, sim.offered/5)
 		So(sim.late, ShouldBeLessThan, sim.inTime/2)
--- a/core/request/spread/peers.go
+++ b/core/request/spread/peers.go
@@ -67,8 +67,8 @@
 
 // reportWeight returns the weight of a load report of the given age, from 1 down to 0.
 func reportWeight(age time.Duration) float64 {
-	if age >= 4*reportDecay {
+	if age >= 4*reportHalfWeightAge {
 		return 0
 	}
-	return 1 / (1 + float64(age)/float64(reportDecay))
+	return 1 / (1 + float64(age)/float64(reportHalfWeightAge))
 }
--- a/core/request/spread/permits_test.go
+++ b/core/request/spread/permits_test.go
@@ -9,27 +9,28 @@
 	"catkinstep/core/request/permit"
 )
 
-// runOverload simulates one data centre of a site with 195 daemons, at loadFactor times the
-// capacity of its servers, and returns the shares of requests answered in time and late.
-func runOverload(loadFactor float64, permits *permit.Issuer) (inTime, late float64) {
-	const capacity = 350
+// runAtLoad simulates one data centre, with 32 daemons and 40 servers, of a site with 195 daemons.
+// The load is loadFactor times the capacity of the 40 servers. It returns the shares of requests
+// answered in time and late.
+func runAtLoad(loadFactor float64, permits *permit.Issuer) (inTime, late float64) {
+	const capacityPerSecond = 350
 	sim := newSimulation(32, 40, 240*time.Millisecond, 660*time.Millisecond)
 	for _, d := range sim.daemons {
 		d.limits.Daemons = 195
 	}
 	sim.permits = permits
-	sim.run(loadFactor*capacity, 40*time.Second)
+	sim.run(loadFactor*capacityPerSecond, 40*time.Second)
 	return float64(sim.inTime) / float64(sim.offered), float64(sim.late) / float64(sim.offered)
 }
 
-// Guards against late answers in an overload, when no daemon knows the length of the queues in
+// Guards against late replies in an overload, when no daemon knows the length of the queues in
 // which its requests wait.
 func TestPermitsUnderOverload(t *testing.T) {
 	const minGain, tolerance = 1.1, 0.02
 	for _, loadFactor := range []float64{0.5, 0.8, 1.2, 1.5} {
 		Convey("Permits raise the share answered in time in an overload, and do not lower it otherwise", t, func() {
-			without, lateWithout := runOverload(loadFactor, nil)
-			with, lateWith := runOverload(loadFactor, permit.NewIssuer(1))
+			without, lateWithout := runAtLoad(loadFactor, nil)
+			with, lateWith := runAtLoad(loadFactor, permit.NewIssuer(1))
 			t.Logf("offered %.1f: in time %.3f, late %.3f; with permits %.3f, %.3f", loadFactor, without, lateWithout, with, lateWith)
 			So(with, ShouldBeGreaterThan, without-tolerance)
 			if loadFactor > 1 {
@@ -40,8 +41,8 @@
 	}
 }
 
-// Guards against refusals by an unreliable estimate of the queue, and against permits that a
-// few daemons do not need.
+// Guards against refusing requests because of an unreliable estimate of the queue, and against
+// asking for permits where so few daemons share a server that their estimates are reliable.
 func TestContendedDependsOnDaemonCount(t *testing.T) {
 	choose := func(daemons int) Choice {
 		b, list := New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: daemons}), servers(2)
@@ -66,7 +67,7 @@
 // Guards against a key holder that looks idle to the leader because all its requests are
 // denied permits and never sent.
 func TestDeniedPermitCountsAsFullServer(t *testing.T) {
-	Convey("A server without a permit counts as full and has no requests in flight", t, func() {
+	Convey("A server for which a permit was denied counts as full and has no requests in flight", t, func() {
 		b, server := newBalancer(), servers(1)[0]
 		b.Begin(t0, server, requirements(t0))
 		b.End(t0, server, requirements(t0), t0, PermitDenied, nil)
--- a/core/request/spread/requirements.go
+++ b/core/request/spread/requirements.go
@@ -7,16 +7,17 @@
 	"catkinstep/core/version/fleet"
 )
 
-// Requirements describes what a request requires of a server.
+// Requirements describes a request and which servers may run it.
 type Requirements struct {
 	// Route is the name of the request's route.
 	Route   string
 	Service config.Service
-	// LatencyTarget is the latency up to which an answer has its full value.
+	// LatencyTarget is the latency within which the caller should get its reply; a later reply
+	// is of little use to it.
 	LatencyTarget time.Duration
 	// Priority is lower for more urgent requests.
 	Priority int
-	// ReceivedAt is when the request arrived from its caller, Deadline when it times out.
+	// ReceivedAt is when the request arrived from its caller, and Deadline is when it times out.
 	ReceivedAt time.Time
 	Deadline   time.Time
 	// LocalDataCentre is the data centre of this daemon.
@@ -35,7 +36,7 @@
 // Reasons for refusals.
 const (
 	NoServer        Reason = "none"       // no server is available
-	AllBusy         Reason = "allBusy"    // the queues are too long to answer in time
+	AllBusy         Reason = "allBusy"    // the queues are too long for a reply in time
 	ColdServer      Reason = "coldServer" // the request rate allowed at a cold server is used up
 	ConnectionLimit Reason = "connections"
 	DeadlineTooNear Reason = "deadlineTooNear"
@@ -72,19 +73,19 @@
 // Outcomes of an attempt.
 const (
 	Answered          Outcome = iota
-	Failed                    // a server error, an incomplete answer, or none
-	ConnectionReset           // a new connection was reset before an answer
+	Failed                    // a server error, an incomplete response, or none
+	ConnectionReset           // a new connection was reset before a response
 	PermitDenied              // not sent, since requests of other daemons fill the queue
-	Shed                      // the server declined to run the request
+	Declined                  // the server declined to run the request
 	ConnectionRefused         // the address refused the connection
 	ConnectFailed             // no connection was made in time
 	Cancelled                 // ended by this daemon; says nothing about the server
 )
 
-// Report is the state that a server reports with an answer.
+// Report is the state that a server reports with a response.
 type Report struct {
 	Running, Waiting, Slots int
-	// Bytes is the size of the answer's body.
+	// Bytes is the size of the response body.
 	Bytes int
 	// Slowdown is the server's current service time relative to that of a server of typical
 	// speed; 0 if it is not reported.
--- a/core/request/spread/simulation_test.go
+++ b/core/request/spread/simulation_test.go
@@ -30,8 +30,8 @@
 	lastID  uint64
 
 	// senders are indices of daemons, repeated in proportion to their shares of the requests.
-	senders                              []int
-	offered, inTime, late, refused, shed int
+	senders                                  []int
+	offered, inTime, late, refused, declined int
 }
 
 // backend is a simulated server.
@@ -205,9 +205,9 @@
 	case len(b.queue) < queueLimit:
 		b.queue = append(b.queue, j)
 	default:
-		sim.shed++
+		sim.declined++
 		sim.endPermit(b, j)
-		j.daemon.End(sim.now, b.server, j.req, j.sentAt, Shed, b.report())
+		j.daemon.End(sim.now, b.server, j.req, j.sentAt, Declined, b.report())
 		j.req.Excluded = append(j.req.Excluded, b.server.ID)
 		sim.send(j.daemon, j.req)
 	}
--- a/core/request/spread/slowdown.go
+++ b/core/request/spread/slowdown.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// noiseDecay is the time constant by which the latest reported slowdown loses weight:
-	// the load of other processes on the same host changes a few times a second.
-	noiseDecay = 200 * time.Millisecond
+	// noiseTimeConstant is the time constant with which the latest reported slowdown loses
+	// weight: the load of other processes on the same host changes a few times a second.
+	noiseTimeConstant = 200 * time.Millisecond
 	// minLongTermWeight is the minimum weight of one report in the long-term slowdown.
 	minLongTermWeight = 0.05
 )
@@ -35,6 +35,6 @@
 
 // expected returns the slowdown of a request that begins now.
 func (r *reportedSlowdown) expected(now time.Time) float64 {
-	weight := math.Exp(-float64(now.Sub(r.latestAt)) / float64(noiseDecay))
+	weight := math.Exp(-float64(now.Sub(r.latestAt)) / float64(noiseTimeConstant))
 	return r.longTerm + weight*(r.latest-r.longTerm)
 }
--- a/core/request/spread/slowdown_test.go
+++ b/core/request/spread/slowdown_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// answerWithSlowdown runs a request at server i, whose answer reports a slowdown.
+// answerWithSlowdown runs a request at server i, which reports a slowdown with its response.
 func answerWithSlowdown(b *Balancer, now time.Time, i int, took time.Duration, slowdown float64) {
 	server, req := servers(i + 1)[i], requirements(now)
 	b.Begin(now, server, req)
--- a/core/request/spread/spread.go
+++ b/core/request/spread/spread.go
@@ -14,11 +14,11 @@
 	reportedLoad     float64     // requests from other daemons, running and waiting
 	reportedAt       time.Time
 	slowdown         float64 // service time relative to a server of typical speed
-	slowdownSamples  int     // number of answers behind slowdown, at most maxSlowdownSamples
+	slowdownSamples  int     // number of responses behind slowdown, at most maxSlowdownSamples
 	reportedSlowdown reportedSlowdown
 	failureRate      float64
 	pausedUntil      time.Time
-	connectFailed    bool // a connection attempt failed, and no answer came since
+	connectFailed    bool // a connection attempt failed, and no response came since
 	coldBucket       tokenBucket
 	startMillis      int64 // distinguishes the instances of the server
 	coldUntil        time.Time
@@ -31,7 +31,7 @@
 	newSlowdownSum float64
 }
 
-// addSlowdown adds the server's slowdown during one answer to the stats.
+// addSlowdown adds the server's slowdown during one request to the stats.
 func (st *serverState) addSlowdown(slowdown float64) {
 	st.newSlowdowns++
 	st.newSlowdownSum += slowdown
@@ -67,19 +67,19 @@
 }
 
 // End records the outcome of a request that began at beganAt, and what the server reported
-// with its answer; report is nil if there is none.
+// with its response; report is nil if there is none.
 func (b *Balancer) End(now time.Time, server fleet.Server, req Requirements, beganAt time.Time, outcome Outcome, report *Report) {
 	st := b.stateOf(server)
 	st.inFlight--
 	st.startTimes = removeTime(st.startTimes, beganAt)
-	if outcome == Answered || outcome == Shed {
+	if outcome == Answered || outcome == Declined {
 		st.connectFailed = false
 	}
 	if report != nil {
 		st.reportedLoad = max(0, float64(report.Running+report.Waiting-st.inFlight-1))
 		st.reportedAt = now
 		b.groupLoad(serverGroup{service: server.Service, dataCentre: server.DataCentre}).add(now, st.reportedLoad)
-		if outcome != Shed {
+		if outcome != Declined {
 			st.loadReports++
 			if report.Waiting >= report.Slots {
 				st.longQueueReports++
@@ -94,9 +94,9 @@
 	switch outcome {
 	case Answered:
 		st.failureRate *= 1 - outcomeWeight
-		b.recordAnswer(req, st, now.Sub(beganAt), report)
+		b.recordResponse(req, st, now.Sub(beganAt), report)
 	case ConnectionReset:
-		if stats := b.routeStats(req); stats.answers > 0 && now.Sub(beganAt).Seconds() < earlyResetShare*stats.typicalSeconds {
+		if stats := b.routeStats(req); stats.responses > 0 && now.Sub(beganAt).Seconds() < earlyResetShare*stats.typicalSeconds {
 			// Servers with long queues reset new connections. A retry at the same
 			// server would be reset again.
 			st.markFull(now, 2*server.Slots)
@@ -104,7 +104,7 @@
 		st.failureRate += outcomeWeight * (1 - st.failureRate)
 	case Failed:
 		st.failureRate += outcomeWeight * (1 - st.failureRate)
-	case Shed:
+	case Declined:
 		if report == nil || report.Running >= report.Slots {
 			st.markFull(now, server.Slots)
 		}
@@ -112,8 +112,8 @@
 	case PermitDenied:
 		st.markFull(now, 2*server.Slots)
 	case ConnectionRefused:
-		st.pausedUntil = now.Add(refusedPause)
-		st.coldUntil = now.Add(refusedPause + assumedColdTime)
+		st.pausedUntil = now.Add(connectionRefusedPause)
+		st.coldUntil = now.Add(connectionRefusedPause + assumedColdTime)
 	case ConnectFailed:
 		st.connectFailed, st.pausedUntil = true, now.Add(connectFailedPause)
 		st.failureRate += outcomeWeight * (1 - st.failureRate)
@@ -121,15 +121,15 @@
 	}
 }
 
-// markFull records that a request was turned away from a server, which therefore has at
-// least the given load.
+// markFull records that a request was not run because the server was full, so that its load is
+// at least the given one.
 func (st *serverState) markFull(now time.Time, load int) {
 	st.loadReports++
 	st.longQueueReports++
 	st.reportedLoad, st.reportedAt = max(st.reportedLoad, float64(load)), now
 }
 
-// SetCold sets how long a server stays cold, as its entry reports.
+// SetCold sets how long a server stays cold, as its entry in the server list reports.
 func (b *Balancer) SetCold(now time.Time, server fleet.Server) {
 	st := b.stateOf(server)
 	st.coldUntil = now.Add(server.ColdLeft)
@@ -140,8 +140,8 @@
 	b.stateOf(server).coldUntil = until
 }
 
-// stateOf returns the state of a server. A restarted server gets a new state, which keeps
-// the requests in flight since their ends are still to be recorded.
+// stateOf returns the state of a server. A restarted server gets a new state, to which the
+// requests in flight are copied since their ends are still to be recorded.
 func (b *Balancer) stateOf(server fleet.Server) *serverState {
 	st := b.servers[server.ID]
 	if st == nil || st.startMillis != server.StartMillis {
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -30,17 +30,17 @@
 
 func newBalancer() *Balancer { return New(1, Limits{ColdFactor: 1.5, ColdSlack: 5, Daemons: 2}) }
 
-// runRequest records a request to a server, which takes the given time and has no report.
+// runRequest records a request to a server that ends after the given time, without a report.
 func runRequest(b *Balancer, now time.Time, server fleet.Server, took time.Duration, outcome Outcome) {
 	req := requirements(now)
 	b.Begin(now, server, req)
 	b.End(now.Add(took), server, req, now, outcome, nil)
 }
 
-// Guards against sending requests to a server that hangs: without answers, its averages do not
+// Guards against sending requests to a server that hangs: without responses, its averages do not
 // change.
 func TestHangingServerIsAvoided(t *testing.T) {
-	Convey("A server with a request in flight for long is not chosen", t, func() {
+	Convey("A server with a request that has been in flight for long is not chosen", t, func() {
 		b, list := newBalancer(), servers(2)
 		for i := range 20 {
 			runRequest(b, t0.Add(time.Duration(i)*time.Second), list[i%2], 100*time.Millisecond, Answered)
@@ -102,7 +102,7 @@
 		b, list := newBalancer(), servers(1)
 		runRequest(b, t0, list[0], time.Millisecond, ConnectionRefused)
 		So(b.Choose(t0.Add(100*time.Millisecond), requirements(t0), list).Reason, ShouldEqual, ServerUnreachable)
-		now := t0.Add(refusedPause + 10*time.Millisecond)
+		now := t0.Add(connectionRefusedPause + 10*time.Millisecond)
 		So(b.Choose(now, requirements(now), list).Reason, ShouldEqual, ColdServer)
 		b.SetCold(now, list[0])
 		So(b.Choose(now, requirements(now), list).Refused(), ShouldBeFalse)
@@ -128,7 +128,7 @@
 		b.Begin(now, server, requirements(now))
 		So(b.Evaluate(now, requirements(now), server).Reason, ShouldEqual, ServerUnreachable)
 	})
-	Convey("An answer makes the server available again", t, func() {
+	Convey("A response makes the server available again", t, func() {
 		b, server := start()
 		now := t0.Add(300*time.Millisecond + connectFailedPause)
 		runRequest(b, now, server, time.Millisecond, Answered)
@@ -138,25 +138,25 @@
 }
 
 // Guards against an idle server that gets no requests because it declined one.
-func TestIdleServerShedsRequest(t *testing.T) {
+func TestIdleServerDeclinesRequest(t *testing.T) {
 	Convey("The slots of an idle server that declines a request still count as free", t, func() {
 		b, server := newBalancer(), servers(1)[0]
 		req := requirements(t0)
 		b.Begin(t0, server, req)
-		b.End(t0, server, req, t0, Shed, &Report{Slots: 4})
+		b.End(t0, server, req, t0, Declined, &Report{Slots: 4})
 		So(b.Evaluate(t0, req, server).canServeNow, ShouldBeTrue)
 	})
 	Convey("A full server that declines a request counts as full", t, func() {
 		b, server := newBalancer(), servers(1)[0]
 		req := requirements(t0)
 		b.Begin(t0, server, req)
-		b.End(t0, server, req, t0, Shed, &Report{Running: 4, Waiting: 2, Slots: 4})
+		b.End(t0, server, req, t0, Declined, &Report{Running: 4, Waiting: 2, Slots: 4})
 		So(b.Evaluate(t0, req, server).canServeNow, ShouldBeFalse)
 	})
 }
 
-// Guards against requests that wait in the queue past their latency target, and against refusals while a
-// slot is idle.
+// Guards against requests that wait in the queue past their latency target, and against refusals
+// while a slot is idle.
 func TestBurst(t *testing.T) {
 	Convey("A request that would be answered late is refused at once", t, func() {
 		b, list := newBalancer(), servers(1)
@@ -182,7 +182,7 @@
 		So(accepted[1]+accepted[2], ShouldBeBetween, 4, 16)
 		So(accepted[1], ShouldBeGreaterThanOrEqualTo, accepted[2])
 	})
-	Convey("An idle slot is used even if the answer will be late", t, func() {
+	Convey("An idle slot is used even if the reply will be late", t, func() {
 		b, list := newBalancer(), servers(1)
 		for i := range 200 {
 			runRequest(b, t0.Add(time.Duration(i)*time.Second), list[0], 600*time.Millisecond, Answered)
@@ -281,7 +281,7 @@
 		_, c := evaluate(2*time.Millisecond, Failed)
 		So(c.Refused(), ShouldBeFalse)
 	})
-	Convey("A reset after about the service time means that an answer was lost", t, func() {
+	Convey("A reset after about the service time means that a response was lost", t, func() {
 		b, c := evaluate(250*time.Millisecond, ConnectionReset)
 		So(c.Refused(), ShouldBeFalse)
 		So(b.TakeStats(true)[0].LongQueueReports, ShouldEqual, 0)
@@ -311,7 +311,7 @@
 
 // Guards against stats messages whose size grows with the number of servers rather than with
 // the number that answered.
-func TestTakeStatsReturnsOnlyNewAnswers(t *testing.T) {
+func TestTakeStatsReturnsOnlyNewResponses(t *testing.T) {
 	Convey("Only servers that answered since the last call are listed", t, func() {
 		b, list := newBalancer(), servers(3)
 		for _, server := range list {
@@ -324,9 +324,9 @@
 			b.Begin(now, list[1], requirements(now))
 			b.End(now, list[1], requirements(now), now, Answered, &Report{Running: 1, Waiting: 4, Slots: 4, Slowdown: slowdown})
 		}
-		So(b.TakeStats(false), ShouldResemble, []ServerStats{{Server: "s1", Slowdown: 2.5, Answers: 2, LoadReports: 2, LongQueueReports: 2}})
+		So(b.TakeStats(false), ShouldResemble, []ServerStats{{Server: "s1", Slowdown: 2.5, Responses: 2, LoadReports: 2, LongQueueReports: 2}})
 	})
-	Convey("A new leader gets the stats from earlier answers as well", t, func() {
+	Convey("A new leader gets the stats from earlier responses as well", t, func() {
 		b, list := newBalancer(), servers(3)
 		for _, server := range list {
 			runRequest(b, t0, server, 100*time.Millisecond, Answered)
--- a/core/request/subset/subset.go
+++ b/core/request/subset/subset.go
@@ -2,10 +2,10 @@
 //
 // Many daemons, each with a few requests a second, spread them over many servers. Each daemon
 // knows what it sent itself, and what all others sent a second ago, which is longer than a
-// request takes. Without subsets, all daemons would take the same servers for idle, and requests
-// would queue there while other servers have free slots. So each daemon prefers a few servers,
-// different ones from most other daemons. It knows from its own requests how busy they are, and
-// reuses its connections to them.
+// request takes. Without subsets, all daemons would send to the servers that looked idle a second
+// ago, and requests would queue there while other servers have free slots. So each daemon prefers
+// a few servers, which most other daemons do not prefer. It knows from its own requests how busy
+// they are, and reuses its connections to them.
 //
 // Servers and daemons are placed around a ring in the order of their names. A server is
 // preferred by the daemon beside it, then by the next ones along the ring. When a daemon or
@@ -14,15 +14,13 @@
 // # Usage
 //
 //	rank := subset.Rank(daemon, daemons, server, servers)
-//	cost += rank * step
-//
-// No function returns an error.
+//	cost := latency + float64(rank)*costPerRank // a daemon sends to the server with the lowest cost
 package subset
 
-// Rank returns how many groups of daemons prefer a server more than the given daemon does; it
-// is 0 for the daemons that prefer it most. Daemons and servers are numbered from 0 in the order
-// of their names. A group is one daemon or, with more daemons than servers, as many daemons as
-// there are for each server.
+// Rank returns the rank of a server for a daemon, from 0 for the daemons that prefer the server
+// most. If there are more daemons than servers, daemons/servers of them have the same rank for a
+// server; otherwise all their ranks differ. Daemons and servers are numbered from 0 in the
+// order of their names.
 func Rank(daemon, daemons, server, servers int) int {
 	if daemons <= 1 || servers <= 0 {
 		return 0
--- a/core/request/subset/subset_test.go
+++ b/core/request/subset/subset_test.go
@@ -8,27 +8,27 @@
 
 // Guards against servers that no daemon prefers, and daemons that prefer no server.
 func TestEveryServerAndDaemonIsInASubset(t *testing.T) {
-	for _, v := range []struct{ daemons, servers int }{{1, 4}, {2, 3}, {3, 8}, {32, 40}, {33, 8}, {100, 500}} {
-		preferredServers := make([]int, v.daemons)
-		for server := range v.servers {
+	for _, tc := range []struct{ daemons, servers int }{{1, 4}, {2, 3}, {3, 8}, {32, 40}, {33, 8}, {100, 500}} {
+		preferredServers := make([]int, tc.daemons)
+		for server := range tc.servers {
 			preferringDaemons := 0
-			for daemon := range v.daemons {
-				if Rank(daemon, v.daemons, server, v.servers) == 0 {
+			for daemon := range tc.daemons {
+				if Rank(daemon, tc.daemons, server, tc.servers) == 0 {
 					preferredServers[daemon]++
 					preferringDaemons++
 				}
 			}
-			if preferringDaemons < 1 || preferringDaemons > max(1, v.daemons/v.servers) {
-				t.Errorf("%d daemons have rank 0 at server %d with %+v", preferringDaemons, server, v)
+			if preferringDaemons < 1 || preferringDaemons > max(1, tc.daemons/tc.servers) {
+				t.Errorf("%d daemons have rank 0 at server %d with %+v", preferringDaemons, server, tc)
 			}
 		}
-		for daemon := range v.daemons {
+		for daemon := range tc.daemons {
 			early := false
-			for server := range v.servers {
-				early = early || Rank(daemon, v.daemons, server, v.servers) <= 1
+			for server := range tc.servers {
+				early = early || Rank(daemon, tc.daemons, server, tc.servers) <= 1
 			}
 			if !early {
-				t.Errorf("daemon %d has a rank above 1 at every server with %+v", daemon, v)
+				t.Errorf("daemon %d has a rank above 1 at every server with %+v", daemon, tc)
 			}
 		}
 	}
--- a/core/version/check/check.go
+++ b/core/version/check/check.go
@@ -140,8 +140,8 @@
 		}
 		return
 	}
-	for i, v := range seq.Values {
-		c.checkNode(fmt.Sprintf("%s[%d]", path, i), v, t.Elem())
+	for i, item := range seq.Values {
+		c.checkNode(fmt.Sprintf("%s[%d]", path, i), item, t.Elem())
 	}
 }
 
--- a/core/version/config/config.go
+++ b/core/version/config/config.go
@@ -8,7 +8,10 @@
 	"time"
 )
 
-// Config is one accepted version of the configuration.
+// Config is one accepted version of the configuration, in the form that routing uses. It is
+// derived from the operator's site (see package site) or from the configuration of another
+// platform. The json tags of all types are the names in encoded configurations, which keep
+// their names when fields are renamed.
 type Config struct {
 	// Version increases with each accepted change, not necessarily by one.
 	Version  uint64    `json:"version"`
@@ -18,7 +21,7 @@
 	// RetryShare limits retries to a share of the requests; 0 leaves the limit to
 	// the daemons' settings.
 	RetryShare float64 `json:"retryShare,omitempty"`
-	// DisableRebalancing keeps keys at busy servers instead of moving them away:
+	// DisableRebalancing keeps keys at busy and slow servers instead of moving them away:
 	// fewer moves, but higher tail latency.
 	DisableRebalancing bool `json:"keepKeys,omitempty"`
 	// routesByHost maps a host name in lower case to the indexes of its routes.
@@ -30,8 +33,8 @@
 	// MaxHeaderBytes limits the size of the request line and headers.
 	MaxHeaderBytes int   `json:"headerBytes"`
 	MaxBodyBytes   int64 `json:"bodyBytes"`
-	// HeaderTimeout is how long the request line and headers may take to arrive.
-	HeaderTimeout time.Duration `json:"header"`
+	// ReadTimeout is how long a whole request, with its body, may take to arrive.
+	ReadTimeout time.Duration `json:"header"`
 	// IdleTimeout is how long a connection may stay open without a request.
 	IdleTimeout time.Duration `json:"idle"`
 }
@@ -51,11 +54,12 @@
 	Destinations []Destination `json:"parts"`
 	// Idempotent is set when a request may run more than once.
 	Idempotent bool `json:"idempotent"`
-	// Timeout is the longest time that a caller waits for an answer.
+	// Timeout is the longest time that a caller waits for its reply.
 	Timeout time.Duration `json:"timeout"`
-	// LatencyTarget is the latency up to which an answer has its full value.
+	// LatencyTarget is the latency within which callers should get their replies.
 	LatencyTarget time.Duration `json:"aim"`
-	// MaxAttempts limits the number of backend servers that one request is sent to.
+	// MaxAttempts limits how often one request may be sent, to the same or to different
+	// backend servers. Attempts that certainly reach no server do not count.
 	MaxAttempts int `json:"attempts"`
 	// Priority orders the routes of a service; 0 is the highest priority.
 	Priority int `json:"priority"`
@@ -71,7 +75,7 @@
 type Service struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"healthPath"`
-	// MaxConnections limits the connections to one server from all daemons together.
+	// MaxConnections limits the connections from all daemons together to one server.
 	MaxConnections int `json:"connections"`
 	// Keyed is set when a request may run only at the holder of its key.
 	Keyed bool `json:"keyed"`
@@ -83,15 +87,17 @@
 	// KeyWarmup is how long requests for a key are slow at a server that received the
 	// key without a handover.
 	KeyWarmup time.Duration `json:"warm"`
-	// ColdPeriod is how long a server is cold after its start.
+	// ColdPeriod is how long a server is cold after its start, that is, can handle only
+	// ColdRate requests per second.
 	ColdPeriod time.Duration `json:"cold"`
 	// ColdRate is how many requests per second a cold server can handle, from all
 	// daemons together.
 	ColdRate float64 `json:"coldRate"`
 }
 
-// Match returns the most specific route for a request: the one with the longest
-// prefix of the path, then one that lists the method. It needs WithIndex.
+// Match returns the most specific route for a request. The route with the longest prefix
+// of the path wins, even if its host is AnyHost; then a route that lists the method; then
+// one for the host rather than for AnyHost. It finds only routes that WithIndex has indexed.
 func (c Config) Match(host, path, method string) (Route, bool) {
 	host = strings.ToLower(stripPort(host))
 	best := -1
@@ -109,9 +115,9 @@
 	return c.Routes[best], true
 }
 
-// WithIndex returns the configuration with its routes indexed by host. Match finds
-// no route without the index, which spares each request a scan of all routes: some
-// configurations have thousands.
+// WithIndex returns the configuration with its routes indexed by host. Match requires the
+// index, so that it need not scan all routes for each request: some configurations have
+// thousands.
 func (c Config) WithIndex() Config {
 	c.routesByHost = map[string][]int{}
 	for i := range c.Routes {
@@ -150,16 +156,16 @@
 	return Service{}, false
 }
 
-// Check returns an error for the first route that lacks a host, prefix or
-// destination, or leads to a service that is not configured.
+// Check returns an error for the first route that has no host, no prefix beginning with a
+// slash or no destination, or that leads to a service that is not configured.
 func (c Config) Check() error {
 	for _, r := range c.Routes {
 		if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") || len(r.Destinations) == 0 {
-			return &Error{Op: "check", Kind: BadRoute, Err: fmt.Errorf("route %q at %q%s has no host, prefix or destination", r.Name, r.Host, r.Prefix)}
+			return &Error{Op: "check", Kind: BadRoute, Err: fmt.Errorf("route %q at %q%s needs a host, a prefix beginning with / and a destination", r.Name, r.Host, r.Prefix)}
 		}
-		for _, p := range r.Destinations {
-			if _, ok := c.Service(p.Service); !ok {
-				return &Error{Op: "check", Kind: UnknownService, Err: fmt.Errorf("route %q leads to %q", r.Name, p.Service)}
+		for _, d := range r.Destinations {
+			if _, ok := c.Service(d.Service); !ok {
+				return &Error{Op: "check", Kind: UnknownService, Err: fmt.Errorf("route %q leads to %q", r.Name, d.Service)}
 			}
 		}
 	}
@@ -170,13 +176,13 @@
 // number in [0, 1).
 func (r Route) PickService(u float64) string {
 	total := 0.0
-	for _, p := range r.Destinations {
-		total += p.Weight
+	for _, d := range r.Destinations {
+		total += d.Weight
 	}
 	u *= total
-	for _, p := range r.Destinations {
-		if u -= p.Weight; u < 0 {
-			return p.Service
+	for _, d := range r.Destinations {
+		if u -= d.Weight; u < 0 {
+			return d.Service
 		}
 	}
 	return r.Destinations[len(r.Destinations)-1].Service
--- a/core/version/config/config_test.go
+++ b/core/version/config/config_test.go
@@ -22,7 +22,7 @@
 func TestMatch(t *testing.T) {
 	Convey("The route with the longest prefix at the host matches, whatever the order", t, func() {
 		c := sample()
-		for _, v := range []struct {
+		for _, tc := range []struct {
 			host, path, name string
 			ok               bool
 		}{
@@ -32,9 +32,9 @@
 			{"a.example", "/", "all", true},
 			{"b.example", "/x/", "", false},
 		} {
-			r, ok := c.Match(v.host, v.path, "GET")
-			So(ok, ShouldEqual, v.ok)
-			So(r.Name, ShouldEqual, v.name)
+			r, ok := c.Match(tc.host, tc.path, "GET")
+			So(ok, ShouldEqual, tc.ok)
+			So(r.Name, ShouldEqual, tc.name)
 		}
 	})
 }
@@ -46,10 +46,10 @@
 		lookups := Route{Name: "lookups", Host: AnyHost, Prefix: "/s/", Methods: []string{"GET", "HEAD"}, Idempotent: true}
 		others := Route{Name: "rest", Host: AnyHost, Prefix: "/s/"}
 		for _, c := range []Config{{Routes: []Route{lookups, others}}, {Routes: []Route{others, lookups}}} {
-			for _, v := range []struct{ method, name string }{{"GET", "lookups"}, {"head", "lookups"}, {"POST", "rest"}, {"DELETE", "rest"}} {
-				r, ok := c.WithIndex().Match("whatever:80", "/s/x", v.method)
+			for _, tc := range []struct{ method, name string }{{"GET", "lookups"}, {"head", "lookups"}, {"POST", "rest"}, {"DELETE", "rest"}} {
+				r, ok := c.WithIndex().Match("whatever:80", "/s/x", tc.method)
 				So(ok, ShouldBeTrue)
-				So(r.Name, ShouldEqual, v.name)
+				So(r.Name, ShouldEqual, tc.name)
 			}
 		}
 		_, ok := Config{Routes: []Route{lookups}}.WithIndex().Match("h", "/s/x", "POST")
--- a/core/version/config/error.go
+++ b/core/version/config/error.go
@@ -8,7 +8,7 @@
 // Kinds of errors.
 const (
 	UnknownService Kind = "unknownService" // a route leads to a service that is not configured
-	BadRoute       Kind = "badRoute"       // a route has no host, prefix or destination
+	BadRoute       Kind = "badRoute"       // a route has no host, no prefix beginning with a slash or no destination
 )
 
 // Error is the error type of this package.
--- a/core/version/object/error.go
+++ b/core/version/object/error.go
@@ -11,7 +11,7 @@
 	Conflict       ErrKind = "conflict"    // the object is not at the expected revision
 	Missing        ErrKind = "missing"     // there is no such object
 	Busy           ErrKind = "busy"        // the store refused the operation without carrying it out
-	OutcomeUnknown ErrKind = "unsure"      // no answer: the operation may have been carried out, or may still be
+	OutcomeUnknown ErrKind = "unsure"      // no response: the operation may have been carried out, or may still be
 	Unreachable    ErrKind = "unreachable" // the operation was not sent
 )
 
--- a/core/version/reopen/reopen.go
+++ b/core/version/reopen/reopen.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// maxSamples is how many closures an estimate is based on.
+	// maxSamples is how many closed periods an estimate is based on at most.
 	maxSamples = 64
-	// The default times are the expected lengths of closures until some have been observed:
-	// defaultReleaseTime for planned moves, and defaultLostTime for lost holders, which is
-	// most of the time for which a grant is valid.
+	// The default times are the expected lengths of closed periods until some have been
+	// observed: defaultReleaseTime for holders that are alive, and defaultLostTime for lost
+	// ones, which is most of the time for which a grant is valid.
 	defaultReleaseTime = 500 * time.Millisecond
 	defaultLostTime    = 3 * time.Second
-	// upperQuantile is the fraction of closures that end within Estimate.P90.
+	// upperQuantile is the fraction of closed periods that end within Estimate.P90.
 	upperQuantile = 0.9
-	// overrunFactor applies to a range that has been closed for longer than any before. It is
-	// the expected remaining time as a fraction of the time that the range has been closed.
+	// overrunFactor applies to a closed period that is longer than any before. It is the
+	// expected remaining time as a fraction of the time that the range has been closed so far.
 	overrunFactor = 0.5
 )
 
 // Estimate is how much longer a range stays closed.
 type Estimate struct {
-	// Median is exceeded by half of the closures, P90 by one in ten.
+	// Median is exceeded by half of the closed periods, P90 by one in ten.
 	Median, P90 time.Duration
 }
 
-// sampleGroup identifies closures that are estimated together: those of one service whose
-// holder was lost, or those whose holder was not.
+// sampleGroup identifies closed periods that are estimated together: those of one service whose
+// holder was lost, or those whose holder was alive.
 type sampleGroup struct {
 	service    string
 	holderLost bool
@@ -41,25 +41,25 @@
 	from    int
 }
 
-type closure struct {
+type closedPeriod struct {
 	closedAt   time.Time
 	holderLost bool
 }
 
-// Estimator records closures of ranges. Create it with New; the zero Estimator is not usable.
+// Estimator records how long ranges stay closed. Create it with New; the zero Estimator is not usable.
 type Estimator struct {
-	closed    map[rangeStart]closure
+	closed    map[rangeStart]closedPeriod
 	durations map[sampleGroup][]time.Duration // up to maxSamples, the newest last
 }
 
 // New returns an Estimator that has observed nothing.
 func New() *Estimator {
-	return &Estimator{closed: map[rangeStart]closure{}, durations: map[sampleGroup][]time.Duration{}}
+	return &Estimator{closed: map[rangeStart]closedPeriod{}, durations: map[sampleGroup][]time.Duration{}}
 }
 
-// Observe records which ranges of a table are closed, and for how long those were closed that
-// have opened. isListed reports whether a holder is still listed.
-func (e *Estimator) Observe(now time.Time, t grant.Table, isListed func(grant.Holder) bool) {
+// Observe records which ranges of a table are closed, and the closed periods of those that have
+// opened. isAlive reports whether a holder is still listed.
+func (e *Estimator) Observe(now time.Time, t grant.Table, isAlive func(grant.Holder) bool) {
 	for start, c := range e.closed {
 		r, ok := t.RangeOf(start.service, start.from)
 		if ok && !r.IsOpen() {
@@ -76,7 +76,7 @@
 			if _, known := e.closed[start]; known || r.IsOpen() || r.Holder.Server == "" {
 				continue
 			}
-			e.closed[start] = closure{closedAt: now, holderLost: !isListed(r.Holder)}
+			e.closed[start] = closedPeriod{closedAt: now, holderLost: !isAlive(r.Holder)}
 		}
 	}
 }
@@ -86,10 +86,12 @@
 	e.durations[group] = e.durations[group][max(0, len(e.durations[group])-maxSamples):]
 }
 
-// EstimateOpening estimates how long it takes until a range opens. A range that is still open in
-// the table, although its holder must not be used, counts as closed from now on.
-func (e *Estimator) EstimateOpening(now time.Time, service string, r grant.Range, holderListed bool) Estimate {
-	group := sampleGroup{service: service, holderLost: !holderListed}
+// EstimateReopening estimates how long it takes until a range opens again. A range that is still
+// open in the table, although its holder must not be used, counts as closed from now on.
+// holderAlive says whether the holder of such a range is alive. It has no effect for a range that
+// Observe has found closed, which recorded the state of the holder at that time.
+func (e *Estimator) EstimateReopening(now time.Time, service string, r grant.Range, holderAlive bool) Estimate {
+	group := sampleGroup{service: service, holderLost: !holderAlive}
 	elapsed := time.Duration(0)
 	if c, ok := e.closed[rangeStart{service: service, from: r.From}]; ok {
 		elapsed, group.holderLost = now.Sub(c.closedAt), c.holderLost
@@ -97,8 +99,9 @@
 	return e.remaining(group, elapsed)
 }
 
-// remaining estimates how much longer a closure lasts, based on the earlier closures that lasted
-// longer than it has so far. If there are none, it uses the default times and overrunFactor.
+// remaining estimates how much longer a closed period lasts, based on the earlier ones that
+// lasted longer than this one has so far. If there are none, it uses the default times and
+// overrunFactor.
 func (e *Estimator) remaining(group sampleGroup, elapsed time.Duration) Estimate {
 	var remainders []time.Duration
 	for _, duration := range e.durations[group] {
--- a/core/version/reopen/reopen_test.go
+++ b/core/version/reopen/reopen_test.go
@@ -21,8 +21,8 @@
 	return grant.Table{Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{r}}}}
 }
 
-// replayClosures observes a range that closes for each of the given times, one after the other.
-func replayClosures(estimator *Estimator, holderLost bool, seconds ...float64) {
+// replayClosedPeriods observes a range that is closed for each of the given times in turn.
+func replayClosedPeriods(estimator *Estimator, holderLost bool, seconds ...float64) {
 	now := 0.0
 	for _, s := range seconds {
 		estimator.Observe(at(now), newTable(true), func(grant.Holder) bool { return !holderLost })
@@ -32,32 +32,33 @@
 }
 
 // Guards against callers being asked to retry before the range of their key is open.
-func TestEstimateOpening(t *testing.T) {
-	Convey("A closure is expected to last as long as earlier ones of its service", t, func() {
+func TestEstimateReopening(t *testing.T) {
+	Convey("A range is expected to stay closed for as long as before in its service", t, func() {
 		estimator := New()
-		replayClosures(estimator, false, 0.4, 0.8, 0.9, 1.0, 2.0)
+		replayClosedPeriods(estimator, false, 0.4, 0.8, 0.9, 1.0, 2.0)
 		estimator.Observe(at(100), newTable(true), func(grant.Holder) bool { return true })
 		r := newTable(true).Services[0].Ranges[0]
-		e := estimator.EstimateOpening(at(100), "s", r, true)
+		e := estimator.EstimateReopening(at(100), "s", r, true)
 		So(e.Median, ShouldEqual, 900*time.Millisecond)
 		So(e.P90, ShouldEqual, 2*time.Second)
-		Convey("A range that has been closed for a while is compared with closures that lasted longer", func() {
-			e := estimator.EstimateOpening(at(100.85), "s", r, true)
+		Convey("A range that has been closed for a while is compared with closed periods that lasted longer", func() {
+			e := estimator.EstimateReopening(at(100.85), "s", r, true)
 			So(e.Median, ShouldAlmostEqual, 150*time.Millisecond, time.Millisecond)
 		})
-		Convey("A closure longer than any before is expected to last for half as long again", func() {
-			So(estimator.EstimateOpening(at(104), "s", r, true).Median, ShouldEqual, 2*time.Second)
+		Convey("A range that has been closed for longer than any before is expected to stay closed for half as long again", func() {
+			So(estimator.EstimateReopening(at(104), "s", r, true).Median, ShouldEqual, 2*time.Second)
 		})
-		Convey("Other services and lost holders are estimated separately", func() {
-			So(estimator.EstimateOpening(at(100), "t", r, true).Median, ShouldEqual, defaultReleaseTime)
-			other := grant.Range{From: 5, To: 9}
-			So(estimator.EstimateOpening(at(100), "s", other, false).Median, ShouldEqual, defaultLostTime)
+		Convey("The defaults apply to a service or to a lost holder without earlier closed periods", func() {
+			So(estimator.EstimateReopening(at(100), "t", r, true).Median, ShouldEqual, defaultReleaseTime)
+			// Observe has not found otherRange closed, so the argument says that its holder is lost.
+			otherRange := grant.Range{From: 5, To: 9}
+			So(estimator.EstimateReopening(at(100), "s", otherRange, false).Median, ShouldEqual, defaultLostTime)
 		})
 	})
-	Convey("Closures with a lost holder are estimated from others with a lost holder", t, func() {
+	Convey("Ranges of lost holders are estimated from earlier ranges of lost holders", t, func() {
 		estimator := New()
-		replayClosures(estimator, true, 3.4, 3.5, 3.6)
+		replayClosedPeriods(estimator, true, 3.4, 3.5, 3.6)
 		estimator.Observe(at(100), newTable(true), func(grant.Holder) bool { return false })
-		So(estimator.EstimateOpening(at(101), "s", newTable(true).Services[0].Ranges[0], false).Median, ShouldEqual, 2500*time.Millisecond)
+		So(estimator.EstimateReopening(at(101), "s", newTable(true).Services[0].Ranges[0], false).Median, ShouldEqual, 2500*time.Millisecond)
 	})
 }
--- a/core/version/site/rules.go
+++ b/core/version/site/rules.go
@@ -28,29 +28,29 @@
 		c.Add("services", "missing")
 	}
 	names := map[string]bool{}
-	for i, v := range s.Services {
+	for i, svc := range s.Services {
 		path := fmt.Sprintf("services[%d]", i)
-		c.checkName(path, v.Name, names)
-		if v.Slots < 1 {
+		c.checkName(path, svc.Name, names)
+		if svc.Slots < 1 {
 			c.Add(path+".slots", "must be at least 1")
 		}
-		if v.MaxConnections < v.Slots {
-			c.Add(path+".connections", "must be at least slots (%d)", v.Slots)
+		if svc.MaxConnections < svc.Slots {
+			c.Add(path+".connections", "must be at least slots (%d)", svc.Slots)
 		}
-		if v.KeySegment < 0 {
+		if svc.KeySegment < 0 {
 			c.Add(path+".keySegment", "must not be negative")
 		}
-		if v.KeyByID && (!v.Keyed || v.KeySegment > 0) {
+		if svc.KeyByID && (!svc.Keyed || svc.KeySegment > 0) {
 			c.Add(path+".keyByID", "requires keyed: true and no keySegment")
 		}
-		if v.MaxAttempts < 1 {
+		if svc.MaxAttempts < 1 {
 			c.Add(path+".attempts", "must be at least 1")
 		}
-		if v.ColdRate < 0 {
+		if svc.ColdRate < 0 {
 			c.Add(path+".coldRate", "must not be negative")
 		}
-		c.checkShare(path+".levels.answered", v.Objectives.AnsweredShare)
-		c.checkShare(path+".levels.fastShare", v.Objectives.FastShare)
+		c.checkShare(path+".levels.answered", svc.Objectives.AnsweredShare)
+		c.checkShare(path+".levels.fastShare", svc.Objectives.FastShare)
 	}
 }
 
@@ -62,15 +62,15 @@
 	for i, d := range s.DataCentres {
 		path := fmt.Sprintf("dataCentres[%d]", i)
 		c.checkName(path, d.Name, names)
-		for j, v := range d.Servers {
+		for j, server := range d.Servers {
 			field := fmt.Sprintf("%s.servers[%d]", path, j)
-			c.Address(field+".address", v.Address)
-			if addresses[v.Address] {
-				c.Add(field+".address", "%s is listed twice", v.Address)
+			c.Address(field+".address", server.Address)
+			if addresses[server.Address] {
+				c.Add(field+".address", "%s is listed twice", server.Address)
 			}
-			addresses[v.Address] = true
-			if _, ok := s.Service(v.Service); !ok {
-				c.Add(field+".service", "no service %q", v.Service)
+			addresses[server.Address] = true
+			if _, ok := s.Service(server.Service); !ok {
+				c.Add(field+".service", "no service %q", server.Service)
 			}
 		}
 	}
@@ -119,8 +119,8 @@
 	}
 }
 
-func (c validator) checkShare(field string, v float64) {
-	if v <= 0 || v > 1 {
+func (c validator) checkShare(field string, share float64) {
+	if share <= 0 || share > 1 {
 		c.Add(field, "must be above 0 and at most 1")
 	}
 }
--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -7,20 +7,21 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Site is the whole configuration. Treat it as immutable.
+// Site is the whole configuration. Treat it as immutable. The yaml tags of all types are the
+// names in the operators' files, which keep their names when fields are renamed.
 type Site struct {
 	// Name identifies the site in reports.
 	Name        string       `yaml:"name"`
 	Services    []Service    `yaml:"services"`
 	DataCentres []DataCentre `yaml:"dataCentres"`
-	// Presets are the operator's prepared settings; exactly one is active.
+	// Presets are the operator's prepared settings. Exactly one is active in a valid site.
 	Presets []Preset `yaml:"presets"`
 	// Exclusions are the data centres and hosts that commands took out of service.
 	Exclusions []Exclusion `yaml:"outs,omitempty"`
 	// Change describes the change that made this version, to report conflicts.
 	Change string `yaml:"change,omitempty"`
-	// WriteID is unique to each write. A writer that lost the reply recognises its
-	// own change by it.
+	// WriteID is unique to each write. A writer that did not get the store's response
+	// recognises by it whether its change was made.
 	WriteID string `yaml:"writer,omitempty"`
 }
 
@@ -37,15 +38,18 @@
 	KeyByID bool `yaml:"keyByID,omitempty"`
 	// Slots is how many requests one server runs concurrently.
 	Slots int `yaml:"slots"`
-	// MaxConnections limits the connections to one server.
+	// MaxConnections limits the connections from all daemons together to one server.
 	MaxConnections int `yaml:"connections"`
 	// DefaultTimeout applies to requests without a time limit; default 5s.
 	DefaultTimeout time.Duration `yaml:"deadline,omitempty"`
-	// MaxAttempts limits the number of servers that one request is sent to; default 2.
+	// MaxAttempts limits how often one request may be sent, to the same or to different
+	// servers; default 2. Attempts that certainly reach no server do not count.
 	MaxAttempts int `yaml:"attempts,omitempty"`
-	// ColdPeriod is how long a server is cold after its start; default 3s.
+	// ColdPeriod is how long a server is cold after its start, that is, can handle only
+	// ColdRate requests per second; default 3s.
 	ColdPeriod time.Duration `yaml:"cold,omitempty"`
-	// ColdRate is how many requests per second a cold server can handle; default 20.
+	// ColdRate is how many requests per second a cold server can handle, from all daemons
+	// together; default 20.
 	ColdRate float64 `yaml:"coldRate,omitempty"`
 	// IdempotentMethods are the methods whose requests may run more than once; default
 	// GET and HEAD.
@@ -53,17 +57,19 @@
 	Objectives        Objectives `yaml:"levels,omitempty"`
 }
 
-// Objectives are the service level objectives that the burn report is based on.
+// Objectives are the service level objectives of a service. The burn report shows how fast
+// their error budgets are used up.
 type Objectives struct {
 	// AnsweredShare is the share of requests to be answered; default 0.999.
 	AnsweredShare float64 `yaml:"answered,omitempty"`
 	// LatencyThreshold is the latency that FastShare refers to; default 100ms.
 	LatencyThreshold time.Duration `yaml:"within,omitempty"`
-	// FastShare is the share of answers to arrive within LatencyThreshold; default 0.99.
+	// FastShare is the share of replies to arrive within LatencyThreshold; default 0.99.
 	FastShare float64 `yaml:"fastShare,omitempty"`
 }
 
-// DataCentre is a location with its own entry hosts and backend servers.
+// DataCentre is a location with its own backend servers, and its own entry hosts on which the
+// daemons run.
 type DataCentre struct {
 	Name    string   `yaml:"name"`
 	Servers []Server `yaml:"servers"`
@@ -88,11 +94,12 @@
 	ExcludedDataCentres []string `yaml:"out,omitempty"`
 }
 
-// Exclusion takes a data centre or a host out of service. It has no json tags: the
-// operator's status shows it under the Go names of its fields.
+// Exclusion takes a data centre or a host out of service. The operator's status encodes it
+// as JSON under the Go names of its fields, so renaming a field would change that output.
 type Exclusion struct {
 	DataCentre string `yaml:"dataCentre,omitempty"`
-	// Host is the address of a backend server, or an IP address for all servers on it.
+	// Host is the address of a backend server, or the IP address of a host for all servers
+	// on it.
 	Host string `yaml:"host,omitempty"`
 }
 
@@ -116,9 +123,9 @@
 
 // Service returns the service with the given name.
 func (s Site) Service(name string) (Service, bool) {
-	for _, v := range s.Services {
-		if v.Name == name {
-			return v, true
+	for _, svc := range s.Services {
+		if svc.Name == name {
+			return svc, true
 		}
 	}
 	return Service{}, false
@@ -134,7 +141,8 @@
 	return DataCentre{}, false
 }
 
-// ActivePreset returns the active preset, or an empty one if none is active.
+// ActivePreset returns the active preset. It is the zero Preset if none is active, which is
+// possible only in a site that was not validated.
 func (s Site) ActivePreset() Preset {
 	for _, p := range s.Presets {
 		if p.Active {
@@ -164,8 +172,8 @@
 func (s Site) HostExcluded(address string) bool { return s.hostExclusion(address).Host != "" }
 
 // IsIdempotent reports whether requests with the method may run more than once.
-func (v Service) IsIdempotent(method string) (idempotent bool) {
-	for _, m := range v.IdempotentMethods {
+func (s Service) IsIdempotent(method string) (idempotent bool) {
+	for _, m := range s.IdempotentMethods {
 		if strings.EqualFold(m, method) {
 			return true
 		}
@@ -187,18 +195,18 @@
 
 func (s Site) withDefaults() Site {
 	services := make([]Service, len(s.Services))
-	for i, v := range s.Services {
-		v.DefaultTimeout = orDefault(v.DefaultTimeout, 5*time.Second)
-		v.MaxAttempts = orDefault(v.MaxAttempts, 2)
-		v.ColdPeriod = orDefault(v.ColdPeriod, 3*time.Second)
-		v.ColdRate = orDefault(v.ColdRate, 20)
-		if len(v.IdempotentMethods) == 0 {
-			v.IdempotentMethods = []string{"GET", "HEAD"}
+	for i, svc := range s.Services {
+		svc.DefaultTimeout = orDefault(svc.DefaultTimeout, 5*time.Second)
+		svc.MaxAttempts = orDefault(svc.MaxAttempts, 2)
+		svc.ColdPeriod = orDefault(svc.ColdPeriod, 3*time.Second)
+		svc.ColdRate = orDefault(svc.ColdRate, 20)
+		if len(svc.IdempotentMethods) == 0 {
+			svc.IdempotentMethods = []string{"GET", "HEAD"}
 		}
-		v.Objectives.AnsweredShare = orDefault(v.Objectives.AnsweredShare, 0.999)
-		v.Objectives.LatencyThreshold = orDefault(v.Objectives.LatencyThreshold, 100*time.Millisecond)
-		v.Objectives.FastShare = orDefault(v.Objectives.FastShare, 0.99)
-		services[i] = v
+		svc.Objectives.AnsweredShare = orDefault(svc.Objectives.AnsweredShare, 0.999)
+		svc.Objectives.LatencyThreshold = orDefault(svc.Objectives.LatencyThreshold, 100*time.Millisecond)
+		svc.Objectives.FastShare = orDefault(svc.Objectives.FastShare, 0.99)
+		services[i] = svc
 	}
 	presets := make([]Preset, len(s.Presets))
 	for i, p := range s.Presets {
--- a/core/version/site/with.go
+++ b/core/version/site/with.go
@@ -89,7 +89,7 @@
 		}
 		return nil
 	}
-	// The host may also be an entry host; site files do not list those.
+	// The host may also be an entry host, on which a daemon runs; site files do not list those.
 	if _, err := netip.ParseAddr(e.Host); err == nil {
 		return nil
 	}
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -159,7 +159,7 @@
 	case err != nil:
 		return spread.Failed
 	case resp.NotRun:
-		return spread.Shed
+		return spread.Declined
 	case resp.Status >= http.StatusInternalServerError:
 		return spread.Failed
 	}
@@ -215,7 +215,7 @@
 
 // retryState describes the attempts so far, the last of which failed.
 func (r *Router) retryState(req *request, notRun bool) retry.State {
-	return retry.State{Idempotent: req.route.Idempotent, NotRun: notRun, MaybeRan: req.maybeRan, Arrived: req.arrived, Unsent: req.unsent,
+	return retry.State{Idempotent: req.route.Idempotent, NotRun: notRun, MaybeRan: req.maybeRan, SentAttempts: req.arrived, UnsentAttempts: req.unsent,
 		CrashSuspect: r.checkCrashSuspect(req), MaxAttempts: req.route.MaxAttempts, TimeLeft: time.Until(req.deadline), MinLatency: r.minRetryLatency(req)}
 }
 
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -32,7 +32,7 @@
 // to retry when the range has probably opened: an earlier retry would be refused again, a later
 // one would waste time. r.mu must be held.
 func (r *Router) closedRangeChoice(now time.Time, req *request, keyRange grant.Range, holderAlive bool) spread.Choice {
-	estimate := r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, holderAlive)
+	estimate := r.gaps.EstimateReopening(r.now(), req.service.Name, keyRange, holderAlive)
 	req.rangeOpensBy = now.Add(estimate.P90)
 	return spread.Choice{Reason: reasonKeyMoving, RetryAfter: estimate.Median}
 }
@@ -44,7 +44,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if resp.Status == http.StatusMisdirectedRequest {
-		return r.gaps.EstimateOpening(r.now(), req.service.Name, keyRange, true).Median
+		return r.gaps.EstimateReopening(r.now(), req.service.Name, keyRange, true).Median
 	}
 	return r.spread.Evaluate(time.Now(), req.requirements, server).RetryAfter
 }
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -298,7 +298,7 @@
 
 func (r *Router) callerLimits() caller.Limits {
 	l := r.current.Load().config.Limits
-	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout}
+	out := caller.Limits{MaxHeaderBytes: l.MaxHeaderBytes, MaxBodyBytes: l.MaxBodyBytes, ReadTimeout: l.ReadTimeout, IdleTimeout: l.IdleTimeout}
 	if out.MaxHeaderBytes <= 0 {
 		out = caller.Limits{MaxHeaderBytes: defaultMaxHeaderBytes, MaxBodyBytes: defaultMaxBodyBytes, ReadTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 		if r.settings.MaxBodyBytes > 0 {
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -47,7 +47,7 @@
 func (r *Router) clearSuspicion(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.suspects.RecordAnswer(req.fingerprint)
+	r.suspects.RecordResponse(req.fingerprint)
 }
 
 // checkCrashSuspect reports whether a request is refused because servers were lost while it
