--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -17,8 +17,9 @@
 	lastLossAt time.Time
 }
 
-// New returns Suspects that refuse a request once at least threshold different servers were lost
-// while it ran, and that forget a request after the retention time without another loss.
+// New returns Suspects without any requests. A request should be refused once at least threshold
+// different servers were lost while it ran. It is forgotten after the retention time without
+// another loss.
 func New(threshold int, retention time.Duration) *Suspects {
 	return &Suspects{threshold: threshold, retention: retention, requests: map[uint64]suspect{}}
 }
--- a/core/request/spread/choose.go
+++ b/core/request/spread/choose.go
@@ -42,8 +42,8 @@
 	cost float64
 }
 
-// bestOf compares either the local or the remote servers with the best candidate so far,
-// and returns the best of all. The count is the number of servers on the chosen side.
+// bestOf compares either the local or the remote servers, of which there are count, with the
+// best candidate so far, and returns the best of all.
 func (b *Balancer) bestOf(now time.Time, req Requirements, servers []fleet.Server, local bool, count int, best candidate) candidate {
 	position, loads := -1, loadCache{balancer: b, now: now, req: req}
 	for _, server := range servers {
--- a/core/request/spread/cold.go
+++ b/core/request/spread/cold.go
@@ -29,13 +29,13 @@
 // server at all, and which ones depends on the server.
 func (b *Balancer) coldRate(service config.Service, serverID string) rate {
 	daemons := max(1, b.limits.Daemons)
-	extra := coldBurstShare * (service.ColdRate*(b.limits.ColdFactor-1) + b.limits.ColdSlack)
-	sharers := max(1, min(daemons, int(extra)))
+	totalBurst := coldBurstShare * (service.ColdRate*(b.limits.ColdFactor-1) + b.limits.ColdSlack)
+	sharers := max(1, min(daemons, int(totalBurst)))
 	index := (b.limits.Index + int(xxhash.Sum64String(serverID)%uint64(daemons))) % daemons
 	if index >= sharers {
 		return rate{}
 	}
-	return rate{perSecond: service.ColdRate / float64(sharers), burst: max(1, extra/float64(daemons))}
+	return rate{perSecond: service.ColdRate / float64(sharers), burst: max(1, totalBurst/float64(daemons))}
 }
 
 func (b *tokenBucket) hasToken(now time.Time, r rate) bool {
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -19,8 +19,8 @@
 	// It is about the service time of a request, after which the queue has changed.
 	reportHalfWeightAge = 400 * time.Millisecond
 	// peerLoadValidity is how long another daemon's count of its requests is used. The
-	// interval between two counts grows with the number of daemons in the data centre. Up to
-	// twenty daemons, a count is used until the next one has arrived.
+	// interval between two counts grows with the number of daemons in the data centre. With up
+	// to twenty daemons, a count is used until the next one has arrived.
 	peerLoadValidity = 2 * reportHalfWeightAge
 	// maxLocalSlowdown is the slowdown from which a local server with a free slot no longer
 	// keeps remote servers from being considered. Servers of one service differ in speed by
@@ -31,14 +31,14 @@
 	maxSlowdown = 25.0
 	minSlowdown = 0.25
 	// remoteCostPerKB is the surcharge on the cost of a remote server for each kilobyte of its
-	// response. Costs are in units of time, so a remote server is chosen only if it is faster
-	// by this much. The surcharge stands for the price of traffic between data centres; the
-	// network latency, which is only a millisecond or two, needs none.
+	// response. Costs are times, so a remote server must save this much time to be chosen over
+	// a local one. The surcharge stands for the price of traffic between data centres, not for
+	// the network latency, which is only a millisecond or two.
 	remoteCostPerKB = 100 * time.Millisecond
-	// rankCost is the surcharge on the cost of a server for each rank that it has for this
-	// daemon (see package subset), as a share of the typical service time. All ranks from
-	// maxRank on have the same surcharge: at such servers, which other daemons prefer, an idle
-	// look says equally little about the queue.
+	// rankCost times a server's rank for this daemon (see package subset) is the surcharge on
+	// its cost, as a share of the typical service time. From maxRank on the surcharge no longer
+	// grows: any of these servers may look idle and yet have a queue of requests from other
+	// daemons.
 	rankCost = 0.4
 	maxRank  = 3
 	// earlyResetShare is the share of the typical service time within which a connection
@@ -65,8 +65,9 @@
 	// minRetryAfter is the shortest delay after which a caller whose request this daemon
 	// refused is asked to retry, before the delay is randomised.
 	minRetryAfter = 60 * time.Millisecond
-	// coldBurstShare is the share of a cold server's allowance that the bursts of all daemons
-	// may use together. The allowance is what the limit in Limits permits beyond ColdRate.
+	// coldBurstShare is the share of a cold server's burst allowance that the bursts of all
+	// daemons may use together. The allowance is the limit by ColdFactor and ColdSlack less
+	// ColdRate.
 	coldBurstShare = 0.75
 	// assumedColdTime is how long a server that may have restarted counts as cold, unless its
 	// entry in the server list says how long it stays cold.
--- a/core/request/subset/subset_test.go
+++ b/core/request/subset/subset_test.go
@@ -23,11 +23,11 @@
 			}
 		}
 		for daemon := range tc.daemons {
-			early := false
+			hasLowRank := false
 			for server := range tc.servers {
-				early = early || Rank(daemon, tc.daemons, server, tc.servers) <= 1
+				hasLowRank = hasLowRank || Rank(daemon, tc.daemons, server, tc.servers) <= 1
 			}
-			if !early {
+			if !hasLowRank {
 				t.Errorf("daemon %d has a rank above 1 at every server with %+v", daemon, tc)
 			}
 		}
--- a/core/version/grant/change_test.go
+++ b/core/version/grant/change_test.go
@@ -28,8 +28,8 @@
 // whole table.
 func TestApplyingChangeYieldsNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old, now := drawTable(t, 4), drawTable(t, 7)
-		c, ok := now.ChangeSince(old)
+		old, updated := drawTable(t, 4), drawTable(t, 7)
+		c, ok := updated.ChangeSince(old)
 		if !ok {
 			t.Fatal("no change between two tables of one epoch")
 		}
@@ -41,8 +41,8 @@
 			t.Fatal(err)
 		}
 		got, ok := old.WithChange(c)
-		if !ok || !reflect.DeepEqual(got, now) {
-			t.Fatalf("applying to %+v\nthe change %+v\ngave %+v\nwant %+v", old, c, got, now)
+		if !ok || !reflect.DeepEqual(got, updated) {
+			t.Fatalf("applying to %+v\nthe change %+v\ngave %+v\nwant %+v", old, c, got, updated)
 		}
 	})
 }
@@ -50,8 +50,8 @@
 func TestChangeOfAnotherTable(t *testing.T) {
 	old := Table{Epoch: 3, Seq: 4, Services: []ServiceRanges{{Service: "k"}}}
 	Convey("A change applies to the table that it was made for, and to no other", t, func() {
-		now := Table{Epoch: 3, Seq: 7, Services: []ServiceRanges{{Service: "k"}}}
-		c, ok := now.ChangeSince(old)
+		updated := Table{Epoch: 3, Seq: 7, Services: []ServiceRanges{{Service: "k"}}}
+		c, ok := updated.ChangeSince(old)
 		So(ok, ShouldBeTrue)
 		for _, other := range []Table{{Epoch: 3, Seq: 5}, {Epoch: 2, Seq: 4}, {Epoch: 3, Seq: 4, Leader: Leader{Daemon: "x"}}} {
 			_, ok := other.WithChange(c)
@@ -59,8 +59,8 @@
 		}
 	})
 	Convey("Another epoch or another set of services needs the whole table", t, func() {
-		for _, now := range []Table{{Epoch: 4, Seq: 5, Services: old.Services}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "other"}}}} {
-			_, ok := now.ChangeSince(old)
+		for _, updated := range []Table{{Epoch: 4, Seq: 5, Services: old.Services}, {Epoch: 3, Seq: 5}, {Epoch: 3, Seq: 5, Services: []ServiceRanges{{Service: "other"}}}} {
+			_, ok := updated.ChangeSince(old)
 			So(ok, ShouldBeFalse)
 		}
 	})
--- a/core/version/grant/table_test.go
+++ b/core/version/grant/table_test.go
@@ -30,9 +30,9 @@
 	Convey("Unmarshal returns the table that was marshalled", t, func() {
 		data, err := table.Marshal()
 		So(err, ShouldBeNil)
-		back, err := Unmarshal(data)
+		decoded, err := Unmarshal(data)
 		So(err, ShouldBeNil)
-		So(back, ShouldResemble, table)
+		So(decoded, ShouldResemble, table)
 	})
 }
 
@@ -85,10 +85,10 @@
 		whole := Table{Epoch: 3, Seq: 7, Leader: Leader{Daemon: "d", Incarnation: 2}, Services: []ServiceRanges{{Service: "s", Ranges: []Range{{To: LastKey}}}}}
 		data, err := whole.Marshal()
 		So(err, ShouldBeNil)
-		head, err := UnmarshalHeader(data)
+		header, err := UnmarshalHeader(data)
 		So(err, ShouldBeNil)
 		whole.Services = nil
-		So(head, ShouldResemble, whole)
+		So(header, ShouldResemble, whole)
 		_, err = UnmarshalHeader(data[:len(data)-1])
 		So(err, ShouldNotBeNil)
 	})
--- a/core/version/object/object_test.go
+++ b/core/version/object/object_test.go
@@ -57,7 +57,7 @@
 		revision := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			revision += rapid.Uint64Range(1, 3).Draw(t, "step")
-			it := Item{Name: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "name")), Revision: revision, Removed: rapid.Bool().Draw(t, "gone"),
+			it := Item{Name: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "name")), Revision: revision, Removed: rapid.Bool().Draw(t, "removed"),
 				Value: []byte(fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "value")))}
 			source.Merge(Delta{Items: []Item{it}, Through: revision})
 			if rapid.Bool().Draw(t, "sync") {
--- a/core/version/reopen/doc.go
+++ b/core/version/reopen/doc.go
@@ -12,7 +12,7 @@
 //	estimator := reopen.New()
 //	estimator.Observe(now, table, isAlive) // each table that comes into force
 //	e := estimator.EstimateReopening(now, service, r, holderAlive)
-//	if now.Add(e.P90).Before(latest) { wait } else { refuse with a retry delay of e.Median }
+//	if now.Add(e.P90).Before(deadline) { wait } else { refuse with a retry delay of e.Median }
 //
 // An Estimator is not safe for concurrent use.
 package reopen
