--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -49,7 +49,7 @@
 func (r *Router) clearSuspect(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.suspects.RecordAnswer(req.fingerprint)
+	r.suspects.RecordResponse(req.fingerprint)
 }
 
 // checkCrashSuspect reports whether a request is refused because at least crashThreshold servers
