--- a/core/process/member/doc.go
+++ b/core/process/member/doc.go
@@ -9,5 +9,5 @@
 //	c := member.New(self, now)
 //	c.RecordGossip(now, peer, member.Status{...})
 //	if c.ShouldRead(now, currentAt, leading) { ... }
-//	if try, _ := c.ShouldTakeLead(now, leader); try { ... }
+//	if try, leaderEnded := c.ShouldTakeLead(now, leader); try { ... }
 package member
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// silenceTimeout is how long after the last contact a daemon of the same data centre, or a
-	// leader, counts as lost. Daemons gossip every half second; two messages may be lost.
+	// silenceTimeout is how long after the last contact a daemon of the same data centre, or
+	// the leader in any data centre, counts as lost. The leader and the relays of all data
+	// centres exchange gossip every half second; two messages may be lost.
 	silenceTimeout = 1500 * time.Millisecond
 	// rankDelay is how much longer each candidate waits than the one ranked before it, so
 	// that they don't all try to take the lead at once. A conditional update of the store
 	// takes a few milliseconds, and the gossip about it a few more.
 	rankDelay = 150 * time.Millisecond
 	// staleAfter is how old a daemon's copy of the store may be before the daemon reads the
-	// store itself. The leader's watch returns nothing for up to 0.6 s and pauses for
-	// 0.3 s, and its gossip takes another 0.5 s; with a shorter limit all daemons
-	// would read. It must also be short enough that another daemon reads in time if the
-	// store refuses only the leader: all daemons must know of a leaving server two seconds
-	// after its announcement.
+	// store itself. If nothing changes, the leader's watch of the servers returns after 0.6 s
+	// (serverWatchWait in package router), the next one starts 0.3 s later (serverReadPause),
+	// and the leader's gossip takes up to 0.5 s more (leaderGossipInterval). With a shorter
+	// limit every daemon would read the store although the leader does. A longer limit would
+	// delay news if the store refuses only the leader: all daemons must know of a draining
+	// server two seconds after its announcement.
 	staleAfter = 1600 * time.Millisecond
 	// takeoverStrengthRatio is how many times as strong as the leader's host a host must be
 	// for its daemon to take over. Each change of leader briefly delays moves of key
@@ -28,8 +30,8 @@
 	// storeOutageTimeout is how long a leader may get no response from the store, while
 	// other daemons do, before it steps down.
 	storeOutageTimeout = 1200 * time.Millisecond
-	// remoteSilenceTimeout is silenceTimeout for daemons of other data centres, which
-	// gossip every four seconds unless they lead.
+	// remoteSilenceTimeout is the silenceTimeout of daemons in other data centres that do not
+	// lead. Gossip with them is exchanged every four seconds.
 	remoteSilenceTimeout = 9 * time.Second
 	// forgetAfter is how long after the last contact a daemon that also failed to answer a
 	// call is removed from the list.
@@ -50,7 +52,7 @@
 type Status struct {
 	// Leaving is set when the daemon is shutting down or stepping down as leader.
 	Leaving bool
-	// LastStoreResponse is when the store last answered the daemon's own request.
+	// LastStoreResponse is when the store last responded to a request of the daemon itself.
 	LastStoreResponse time.Time
 	// LastStoreFailure is when the daemon's request to the store last failed; zero if one
 	// has succeeded since.
@@ -79,15 +81,15 @@
 	lastStoreResponse time.Time
 	lastStoreFailure  time.Time
 	peers             map[string]*peer // by name
-	// observedLeader is the leader of the last call to ShouldTakeLead, and observedSince
-	// when it first appeared there. A leader that has sent no gossip yet gets
-	// silenceTimeout from then on.
+	// observedLeader is the leader that was passed to the last call of ShouldTakeLead, and
+	// observedSince the time of the first of the calls with this leader. A leader that has
+	// sent no gossip yet counts as lost silenceTimeout after that.
 	observedLeader grant.Leader
 	observedSince  time.Time
-	// lostLeader is the leader that counts as lost, and lostSince the moment from which this
-	// daemon counts its delay before it tries to take the lead.
-	lostLeader grant.Leader
-	lostSince  time.Time
+	// leaderToReplace is the leader from which the lead may be taken, and replaceableSince
+	// the time at which this daemon's delay before it tries to take the lead begins.
+	leaderToReplace  grant.Leader
+	replaceableSince time.Time
 	// relaysByDataCentre caches the relays, which are looked up many times a second. It is
 	// valid for relayCacheTTL after relaysComputedAt, or until a peer changes.
 	relaysByDataCentre map[string][]Member
@@ -102,15 +104,16 @@
 	return &Cluster{self: self, startedAt: now, peers: map[string]*peer{}}
 }
 
-// Self returns this daemon.
+// Self returns the daemon whose view of the others this Cluster is.
 func (c *Cluster) Self() Member { return c.self }
 
-// RecordStoreResponse records that the store answered this daemon.
+// RecordStoreResponse records that the store responded to this daemon. Earlier failures no
+// longer count.
 func (c *Cluster) RecordStoreResponse(now time.Time) {
 	c.lastStoreResponse, c.lastStoreFailure = now, time.Time{}
 }
 
-// LastStoreResponse is when the store last answered this daemon.
+// LastStoreResponse is when the store last responded to this daemon.
 func (c *Cluster) LastStoreResponse() time.Time { return c.lastStoreResponse }
 
 // AddDiscovered adds a daemon that was found in the store. It does not count as alive until
@@ -142,8 +145,8 @@
 }
 
 // RecordRefused records that a daemon's address refuses connections. Either its process has
-// ended, or a network partition rejects them. That is reason enough to take the lead at once,
-// but no proof that the daemon has stopped leading.
+// ended, or the network between the daemons rejects connections, as a firewall does. That is
+// reason enough to take the lead at once, but no proof that the daemon has stopped leading.
 func (c *Cluster) RecordRefused(address string) {
 	for _, p := range c.peers {
 		if p.Address == address {
@@ -223,7 +226,7 @@
 }
 
 // ShouldStepDown reports whether this daemon, if it leads, should step down because the store
-// answers other daemons but not this one.
+// responds to other daemons but not to this one.
 func (c *Cluster) ShouldStepDown(now time.Time) bool {
 	if now.Sub(c.lastStoreResponse) < storeOutageTimeout {
 		return false
@@ -237,29 +240,30 @@
 }
 
 // ShouldTakeLead reports whether this daemon should try to take the lead from the given
-// leader. If ended is set, that incarnation of the leader is proven to have ended.
+// leader. ended is set if that incarnation of the leader is proven to have ended.
 func (c *Cluster) ShouldTakeLead(now time.Time, l grant.Leader) (try, ended bool) {
 	if c.observedLeader != l {
 		c.observedLeader, c.observedSince = l, now
 	}
-	since, leaderLost, ended := c.leaderLost(now, l)
-	if !leaderLost {
-		c.lostLeader = grant.Leader{}
+	since, replace, ended := c.shouldReplaceLeader(now, l)
+	if !replace {
+		c.leaderToReplace = grant.Leader{}
 		return false, ended
 	}
-	if c.lostLeader != l || c.lostSince.IsZero() {
-		c.lostLeader, c.lostSince = l, since
+	if c.leaderToReplace != l || c.replaceableSince.IsZero() {
+		c.leaderToReplace, c.replaceableSince = l, since
 	}
 	wait := time.Duration(c.candidateRank(now, false)) * rankDelay
 	if !c.IsRelay(now) {
 		wait += c.GossipInterval() * nonRelayRounds
 	}
-	return now.Sub(c.lostSince) >= wait && now.Sub(c.lastStoreResponse) < storeOutageTimeout, ended
+	return now.Sub(c.replaceableSince) >= wait && now.Sub(c.lastStoreResponse) < storeOutageTimeout, ended
 }
 
-// leaderLost reports whether a leader is lost, the moment from which it counts as lost, and
-// whether its incarnation is proven to have ended.
-func (c *Cluster) leaderLost(now time.Time, l grant.Leader) (since time.Time, leaderLost, ended bool) {
+// shouldReplaceLeader reports whether a leader is lost, is leaving, or runs on a much weaker
+// host than this daemon, so that the lead may be taken from it. It also returns the time since
+// when that is so, and whether the leader's incarnation is proven to have ended.
+func (c *Cluster) shouldReplaceLeader(now time.Time, l grant.Leader) (since time.Time, replace, ended bool) {
 	if l.Daemon == "" {
 		return later(c.startedAt, c.lastStoreResponse), true, true
 	}
@@ -285,7 +289,7 @@
 // shouldReplaceWeaker reports whether this daemon should take the lead from a leader that is
 // alive, but on a much weaker host. The daemon that starts first becomes the first leader,
 // whatever its host. When many servers change, updates queue up for a weak host's processor
-// and network link, and the daemons of its data centre keep sending to servers that have left.
+// and network link, and the daemons of its data centre keep sending to draining servers.
 func (c *Cluster) shouldReplaceWeaker(now time.Time, leader *peer) bool {
 	return leader != nil && leader.Strength > 0 && c.self.Strength >= takeoverStrengthRatio*leader.Strength && c.leaderAlive(now, leader) && c.IsRelay(now)
 }
@@ -310,15 +314,16 @@
 	return !p.refused && !p.lastHeard.IsZero() && now.Sub(p.lastHeard) < timeout
 }
 
-// leaderAlive reports whether there was contact with a leader within silenceTimeout, whatever
-// its data centre: the relays of all data centres gossip with the leader twice a second.
+// leaderAlive reports whether there was contact with a leader within silenceTimeout, which
+// applies to a leader in any data centre.
 func (c *Cluster) leaderAlive(now time.Time, p *peer) bool {
 	return !p.refused && now.Sub(p.lastHeard) < silenceTimeout
 }
 
 // candidateRank is the number of live daemons that rank before this one as leader or reader.
-// Daemons without a recent response from the store are left out, except just after this daemon
-// started. If localOnly is set, only daemons of the own data centre count.
+// Unlike LocalRank, it leaves out daemons without a recent response from the store, except
+// just after this daemon started. If localOnly is set, it counts only daemons of this daemon's
+// data centre.
 func (c *Cluster) candidateRank(now time.Time, localOnly bool) int {
 	n := 0
 	for _, p := range c.peers {
@@ -335,8 +340,8 @@
 	return n
 }
 
-// LocalRank is the number of live daemons of the data centre that rank before this one, whether
-// the store answers them or not.
+// LocalRank is the number of live daemons of this daemon's data centre that rank before it,
+// whether the store responds to them or not.
 func (c *Cluster) LocalRank(now time.Time) int {
 	n := 0
 	for _, p := range c.peers {
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// Guards against treating a refused connection as proof that a leader has ended. A network
-// partition can refuse connections while the leader runs and is reached by others.
+// Guards against treating a refused connection as proof that a leader has ended. A firewall may
+// reject connections from one daemon while the leader runs and others reach it.
 func TestRefusedConnectionDoesNotProveEnd(t *testing.T) {
 	Convey("A leader that refuses connections is lost, but not known to have stopped", t, func() {
 		c := newTestCluster()
@@ -137,16 +137,16 @@
 	})
 }
 
-// Guards against a leader on a weak host: its reads of the store stall while servers leave.
+// Guards against a leader on a weak host, whose reads of the store stall while servers drain.
 func TestStrongHostTakesLead(t *testing.T) {
-	memberOfStrength := func(name, place string, strength float64) Member {
-		m := newMember(name, place, 1)
+	memberOfStrength := func(name, dataCentre string, strength float64) Member {
+		m := newMember(name, dataCentre, 1)
 		m.Strength = strength
 		return m
 	}
-	clusterWithWeakLeader := func(self Member, stored time.Time) *Cluster {
+	clusterWithWeakLeader := func(self Member, lastStoreResponse time.Time) *Cluster {
 		c := New(self, t0)
-		c.RecordStoreResponse(stored)
+		c.RecordStoreResponse(lastStoreResponse)
 		c.RecordGossip(at(10), memberOfStrength("weak", "y", 0.2), Status{LastStoreResponse: at(10)})
 		return c
 	}
--- a/core/process/member/reader.go
+++ b/core/process/member/reader.go
@@ -6,19 +6,19 @@
 // the standby reader.
 const storeFailureBackoff = 4 * time.Second
 
-// RecordStoreFailure records that the store did not answer this daemon.
+// RecordStoreFailure records that a call of this daemon to the store failed.
 func (c *Cluster) RecordStoreFailure(now time.Time) { c.lastStoreFailure = now }
 
-// LastStoreFailure is when the store last failed to answer this daemon; zero if it has
-// answered since.
+// LastStoreFailure is when a call of this daemon to the store last failed; zero if the store
+// has responded since.
 func (c *Cluster) LastStoreFailure() time.Time { return c.lastStoreFailure }
 
 // ShouldRead reports whether this daemon should read the store on behalf of the others. A
 // daemon that is not the leader reads if its copy of the store, which was last known to be
 // current at currentAt, has been stale for so long that any daemon of its data centre that
 // ranks before it would have refreshed it. Daemons that are not relays wait longer, since
-// updates reach them a round of gossip later. A daemon that should replace a leader on a
-// weaker host reads as well, to find out whether the store answers it.
+// updates reach them some rounds of gossip later. A daemon that should replace a leader on a
+// weaker host reads as well, to find out whether the store responds to it.
 func (c *Cluster) ShouldRead(now, currentAt time.Time, leading bool) bool {
 	wait := staleAfter + time.Duration(c.candidateRank(now, true))*rankDelay
 	if !c.IsRelay(now) {
@@ -28,10 +28,10 @@
 }
 
 // IsStandbyReader reports whether this daemon reads the store in addition to the leader. The
-// store may refuse only the leader, or the leader's host may stall. Without a standby, servers
-// that left would be sent requests for seconds, until the copies of the other daemons are stale
-// enough for these to read. The standby is the first relay that had no failed call to the store
-// lately, preferably one in another data centre than the leader.
+// store may refuse only the leader, or the leader's host may stall. Without a standby reader,
+// draining servers would be sent requests for seconds, until the copies of the other daemons
+// are so old that these daemons read. The standby reader is the first relay that had no failed
+// call to the store lately, preferably one in another data centre than the leader.
 func (c *Cluster) IsStandbyReader(now time.Time, leader string) bool {
 	if leader == "" || leader == c.self.Name || c.storeFailedRecently(now, c.lastStoreFailure) || !c.IsRelay(now) {
 		return false
--- a/core/process/member/reader_test.go
+++ b/core/process/member/reader_test.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-// Guards against requests being sent to servers for seconds after they left, because the store
+// Guards against requests that are sent to draining servers for seconds because the store
 // refuses the only daemon that reads it.
 func TestStandbyReader(t *testing.T) {
 	noFailure := func(*Cluster) {}
--- a/core/process/member/relay.go
+++ b/core/process/member/relay.go
@@ -12,16 +12,16 @@
 	// daemons makes 2n calls per round instead of n*n. There are two, so that the loss of
 	// one does not interrupt gossip.
 	relaysPerDataCentre = 2
-	// minGossipInterval is the shortest interval between two rounds of gossip. Each daemon of
-	// the data centre accounts for gossipIntervalPerDaemon of it, so that a relay receives
-	// at most about 40 messages a second however many daemons there are.
+	// minGossipInterval is the shortest interval between two rounds of gossip. In a large data
+	// centre the interval is gossipIntervalPerDaemon for each of its daemons, so that a relay
+	// receives at most about 40 messages a second however many daemons there are.
 	minGossipInterval       = 250 * time.Millisecond
 	gossipIntervalPerDaemon = 25 * time.Millisecond
-	// nonRelayRounds is by how many rounds of gossip at most the other daemons learn of changes
-	// later than the relays: one for their own round, and one in case a message is lost.
+	// nonRelayRounds bounds how much later than the relays the other daemons learn of changes,
+	// in rounds of gossip: one for their own round, and one in case a message is lost.
 	nonRelayRounds = 2
-	// relayCacheTTL is how long the chosen relays are cached while no peer changes. It also
-	// delays the moment at which a daemon becomes a candidate again after unansweredBackoff.
+	// relayCacheTTL is how long the chosen relays are cached while no peer changes. A daemon
+	// may become a relay again that much later than unansweredBackoff.
 	relayCacheTTL = 200 * time.Millisecond
 	// unansweredBackoff is how long a daemon that did not answer a call counts as unreachable
 	// before it may be chosen as a relay again.
@@ -73,8 +73,8 @@
 	return slices.DeleteFunc(c.RemoteRelays(now), func(address string) bool { return !afterSelf[address] })
 }
 
-// LocalPeers returns the addresses of all other daemons in the data centre, including lost
-// ones, so that they are found again after a network partition.
+// LocalPeers returns the addresses of all other daemons in this daemon's data centre. Lost
+// ones are included, so that contact resumes after a network partition.
 func (c *Cluster) LocalPeers(now time.Time) []string {
 	c.expirePeers(now)
 	var out []Member
--- a/core/process/member/relay_test.go
+++ b/core/process/member/relay_test.go
@@ -96,17 +96,17 @@
 		c := newTestCluster()
 		addresses := c.ReachableAddresses(at(1))
 		So(addresses[c.Self().DataCentre], ShouldContain, c.Self().Address)
-		lost := ""
+		unanswered := ""
 		for _, list := range addresses {
 			for _, address := range list {
 				if address != c.Self().Address {
-					lost = address
+					unanswered = address
 				}
 			}
 		}
-		c.RecordUnanswered(at(1), lost)
+		c.RecordUnanswered(at(1), unanswered)
 		for _, list := range c.ReachableAddresses(at(1.1)) {
-			So(list, ShouldNotContain, lost)
+			So(list, ShouldNotContain, unanswered)
 		}
 	})
 }
