--- a/core/process/boot/boot.go
+++ b/core/process/boot/boot.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// bootTimeout is how long after the start requests wait at most. If the lists are
-	// missing by then, the store is probably unreachable and they won't come soon.
+	// bootTimeout is how long after the daemon's start requests may wait at most. If the lists
+	// have not been read by then, the store is probably unreachable, and further waiting is of
+	// little use.
 	bootTimeout = 700 * time.Millisecond
 	// maxWaitShare is the share of the caller's timeout that a request may wait. The
 	// rest is left for running the request.
@@ -28,7 +29,7 @@
 	return Boot{startedAt: now, pending: []object.Kind{object.Config, object.Servers, object.Tables}}
 }
 
-// WithLoaded returns the Boot after the first list of a kind was read.
+// WithLoaded returns the Boot after the list of a kind has been read for the first time.
 func (b Boot) WithLoaded(kind object.Kind) Boot {
 	b.pending = slices.DeleteFunc(slices.Clone(b.pending), func(k object.Kind) bool { return k == kind })
 	return b
--- a/core/process/boot/boot_test.go
+++ b/core/process/boot/boot_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// Guards against requests that wait on and on while the store is unreachable.
+// Guards against requests that wait without a limit while the store is unreachable.
 func TestWaitEndsWithoutStore(t *testing.T) {
 	Convey("No request waits longer than the boot timeout", t, func() {
 		b := New(t0).WithLoaded(object.Config)
--- a/core/process/burn/burn.go
+++ b/core/process/burn/burn.go
@@ -9,8 +9,8 @@
 //	rows := burn.Rates(objectives, counts)   // of all daemons
 //
 // A Meter is not safe for concurrent use: its caller holds a lock. A daemon has no
-// counts from before its start; Counts.ObservedFor is how long it has counted. Nothing
-// here fails.
+// counts from before its start; Counts.ObservedFor is how long it has counted. No function
+// returns an error.
 package burn
 
 import (
@@ -136,8 +136,8 @@
 	// Cause is the most frequent cause: slow answers, refusals or unknown outcomes,
 	// or none.
 	Cause string `json:"cause"`
-	// ObservedFor is the shortest time that a daemon has counted, at most the window.
-	// If it is less, counts for the rest of the window are missing.
+	// ObservedFor is the shortest time for which any of the daemons has counted, at most the
+	// window. If it is shorter than the window, counts for the rest of the window are missing.
 	ObservedFor time.Duration `json:"known"`
 }
 
@@ -201,14 +201,14 @@
 }
 
 func mainCause(c WindowCounts) string {
-	most, name := uint64(0), "none"
-	for _, v := range []struct {
+	most, mostFrequent := uint64(0), "none"
+	for _, cause := range []struct {
 		n    uint64
 		name string
 	}{{c.Slow, "slow answers"}, {c.Refused, "refusals"}, {c.Unknown, "unknown outcomes"}} {
-		if v.n > most {
-			most, name = v.n, v.name
+		if cause.n > most {
+			most, mostFrequent = cause.n, cause.name
 		}
 	}
-	return name
+	return mostFrequent
 }
--- a/core/process/loss/doc.go
+++ b/core/process/loss/doc.go
@@ -1,6 +1,6 @@
-// Package loss counts the requests that daemons logged as not answered within their
-// latency target. It groups them by cause, route, time, server and key range, to show
-// what limits the system under overload or failures.
+// Package loss counts lost requests, those that daemons logged as refused, failed, or answered
+// after their latency target. It groups them by cause, route, time, server and key range, to
+// show what limits the system under overload or failures.
 //
 // # Usage
 //
@@ -10,5 +10,5 @@
 //	}
 //	for _, row := range t.Rows(loss.ByCause) { ... }
 //
-// Parse returns the errors of encoding/json; nothing else here fails.
+// Parse returns the errors of encoding/json; no other function returns an error.
 package loss
--- a/core/process/queue/doc.go
+++ b/core/process/queue/doc.go
@@ -2,8 +2,8 @@
 // within their latency target under a given load.
 //
 // The model is a queue with several slots and Poisson arrivals, which refuses requests that would
-// wait for too long. Moves of keys are judged by it, because the answers of a slow server become
-// late at a much lower utilisation of its slots than those of a fast one.
+// wait for too long. Moves of keys are chosen by means of it rather than by utilisation, because
+// a slow server's answers become late at a much lower utilisation than those of a fast one.
 //
 // # Usage
 //
--- a/core/process/queue/queue.go
+++ b/core/process/queue/queue.go
@@ -10,8 +10,8 @@
 	// admitFraction is the fraction of the latency target within which an answer must be
 	// expected for a request to be admitted. Other requests are refused.
 	admitFraction = 0.8
-	// maxQueuePerSlot limits how many requests the model has at a server, per slot.
-	maxQueuePerSlot = 16
+	// maxRequestsPerSlot bounds, per slot, how many requests run or wait at a server in the model.
+	maxRequestsPerSlot = 16
 )
 
 // Server is the queueing model of a server.
@@ -33,7 +33,7 @@
 	if serviceTime <= 0 {
 		return s
 	}
-	for ahead := range s.slots * maxQueuePerSlot {
+	for ahead := range s.slots * maxRequestsPerSlot {
 		wait := max(0, float64(ahead+1-s.slots)/float64(s.slots)*serviceTime)
 		if ahead >= s.slots && wait+serviceTime > admitFraction*latencyTarget {
 			break
