--- a/core/process/keeper/doc.go
+++ b/core/process/keeper/doc.go
@@ -1,7 +1,7 @@
 // Package keeper assigns key ranges to backend servers. The daemon that leads runs
 // one Keeper, which divides the keys of each service into ranges, grants every range
 // to one server at a time as a lease, renews the grants, and moves ranges away from
-// servers that leave or are overloaded.
+// servers that are draining, have ended or are overloaded.
 //
 // The server that holds a range is its holder. A Holder value names one instance of a
 // server, that is, one run of its process. A restart makes a new instance. A request is
--- a/core/process/keeper/moves_test.go
+++ b/core/process/keeper/moves_test.go
@@ -40,7 +40,7 @@
 
 // Guards against cold servers that get the keys of lost servers because the cold ones have no
 // load yet, and then refuse most of the requests.
-func TestLostKeysDoNotGoToColdServers(t *testing.T) {
+func TestKeysOfLostServersDoNotOverloadColdServers(t *testing.T) {
 	Convey("Cold servers get no more requests than they can handle", t, func() {
 		l, servers, h := startedService(200)
 		l.coldRate = 4
--- a/core/process/keeper/options.go
+++ b/core/process/keeper/options.go
@@ -68,8 +68,8 @@
 	minMoveCost       = 1.0
 	moveCostPerDaemon = 0.05
 	// allKeysHandoverCost is what a handover of all keys would cost, in lost requests. The
-	// cost of a move is proportional to the number of its keys, since a handover contains
-	// what the server knows of each key.
+	// handover cost of a move is proportional to the number of keys that move, since a
+	// handover contains what the holder knows of each key.
 	allKeysHandoverCost = 30.0
 	// maxCandidates is how many sources and targets are considered for a move.
 	maxCandidates = 4
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -58,7 +58,7 @@
 		_, ended := c.ShouldTakeLead(at(10.2), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(ended, ShouldBeTrue)
 	})
-	Convey("A daemon that the store does not answer never tries", t, func() {
+	Convey("A daemon to which the store does not respond never tries", t, func() {
 		c := newTestCluster()
 		try, _ := c.ShouldTakeLead(at(20), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(try, ShouldBeFalse)
@@ -82,13 +82,13 @@
 
 // Guards against a leader that keeps the lead while it is the only daemon that the store refuses.
 func TestShouldStepDown(t *testing.T) {
-	Convey("A leader steps down when the store answers other daemons but not it", t, func() {
+	Convey("A leader steps down when the store responds to other daemons but not to it", t, func() {
 		c := newTestCluster()
 		So(c.ShouldStepDown(at(10)), ShouldBeFalse)
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(11.3)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeTrue)
 	})
-	Convey("It keeps the lead when the store answers nobody", t, func() {
+	Convey("It keeps the lead when the store responds to no daemon", t, func() {
 		c := newTestCluster()
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(9.9)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeFalse)
@@ -156,7 +156,7 @@
 		So(ended, ShouldBeFalse)
 		return try
 	}
-	Convey("A daemon on a much stronger host takes over if the store answers it", t, func() {
+	Convey("A daemon on a much stronger host takes over if the store responds to it", t, func() {
 		c := clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(9.9))
 		So(triesToLead(c, at(10.1)), ShouldBeTrue)
 		So(triesToLead(clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
--- a/core/process/member/reader_test.go
+++ b/core/process/member/reader_test.go
@@ -58,7 +58,7 @@
 		So(standbyReaders("a", func(c *Cluster) { c.RecordRefused("c:1") }), ShouldResemble, []string{"c", "d"}) // "c" itself cannot know
 		So(standbyReaders("a", storeFails("c", "d", "e")), ShouldResemble, []string{"b"})
 	})
-	Convey("It may be the standby again once the store has answered it, or after the backoff", t, func() {
+	Convey("It may be the standby again once the store has responded to it, or after the backoff", t, func() {
 		c := newFiveDaemonCluster("c")
 		c.RecordStoreFailure(at(10))
 		So(c.IsStandbyReader(at(10.1), "a"), ShouldBeFalse)
--- a/core/process/speed/speed_test.go
+++ b/core/process/speed/speed_test.go
@@ -25,7 +25,7 @@
 		So(apart.Slowdowns()["a"], ShouldAlmostEqual, together.Slowdowns()["a"], 1e-9)
 		So(Sample{}.With(one), ShouldResemble, one)
 	})
-	Convey("Servers that are gone are removed", t, func() {
+	Convey("Retain removes the servers for which keep returns false", t, func() {
 		e := New()
 		e.Add("a", Sample{Slowdown: 2, Answers: 9})
 		e.Add("b", Sample{Slowdown: 2, Answers: 9})
