--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -58,15 +58,15 @@
 		_, ended := c.ShouldTakeLead(at(10.2), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(ended, ShouldBeTrue)
 	})
-	Convey("A daemon that the store does not answer never tries", t, func() {
+	Convey("A daemon to which the store does not respond never tries", t, func() {
 		c := newTestCluster()
 		try, _ := c.ShouldTakeLead(at(20), grant.Leader{Daemon: "c", Incarnation: 1})
 		So(try, ShouldBeFalse)
 	})
 }
 
-// Guards against treating a refused connection as proof that a leader has ended. A network
-// partition can refuse connections while the leader runs and is reached by others.
+// Guards against treating a refused connection as proof that a leader has ended. A firewall may
+// reject connections from one daemon while the leader runs and others reach it.
 func TestRefusedConnectionDoesNotProveEnd(t *testing.T) {
 	Convey("A leader that refuses connections is lost, but not known to have stopped", t, func() {
 		c := newTestCluster()
@@ -82,13 +82,13 @@
 
 // Guards against a leader that keeps the lead while it is the only daemon that the store refuses.
 func TestShouldStepDown(t *testing.T) {
-	Convey("A leader steps down when the store answers other daemons but not it", t, func() {
+	Convey("A leader steps down when the store responds to other daemons but not to it", t, func() {
 		c := newTestCluster()
 		So(c.ShouldStepDown(at(10)), ShouldBeFalse)
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(11.3)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeTrue)
 	})
-	Convey("It keeps the lead when the store answers nobody", t, func() {
+	Convey("It keeps the lead when the store responds to no daemon", t, func() {
 		c := newTestCluster()
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(9.9)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeFalse)
@@ -137,16 +137,16 @@
 	})
 }
 
-// Guards against a leader on a weak host: its reads of the store stall while servers leave.
+// Guards against a leader on a weak host, whose reads of the store stall while servers drain.
 func TestStrongHostTakesLead(t *testing.T) {
-	memberOfStrength := func(name, place string, strength float64) Member {
-		m := newMember(name, place, 1)
+	memberOfStrength := func(name, dataCentre string, strength float64) Member {
+		m := newMember(name, dataCentre, 1)
 		m.Strength = strength
 		return m
 	}
-	clusterWithWeakLeader := func(self Member, stored time.Time) *Cluster {
+	clusterWithWeakLeader := func(self Member, lastStoreResponse time.Time) *Cluster {
 		c := New(self, t0)
-		c.RecordStoreResponse(stored)
+		c.RecordStoreResponse(lastStoreResponse)
 		c.RecordGossip(at(10), memberOfStrength("weak", "y", 0.2), Status{LastStoreResponse: at(10)})
 		return c
 	}
@@ -156,7 +156,7 @@
 		So(ended, ShouldBeFalse)
 		return try
 	}
-	Convey("A daemon on a much stronger host takes over if the store answers it", t, func() {
+	Convey("A daemon on a much stronger host takes over if the store responds to it", t, func() {
 		c := clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(9.9))
 		So(triesToLead(c, at(10.1)), ShouldBeTrue)
 		So(triesToLead(clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
