--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -33,7 +33,7 @@
 	// service's name; zero means that the Catkinstep-Key header holds it.
 	KeySegment int `yaml:"keySegment,omitempty"`
 	// KeyByID makes the request ID the key. It is for services without keys of their own
-	// whose requests must run only once even if callers retry them.
+	// whose requests must run at most once even if callers retry them.
 	KeyByID bool `yaml:"keyByID,omitempty"`
 	// Slots is how many requests one server runs concurrently.
 	Slots int `yaml:"slots"`
