--- a/cmd/catkinstep/bench.go
+++ b/cmd/catkinstep/bench.go
@@ -75,7 +75,7 @@
 	Seed     uint64        `help:"Seed of the random numbers." default:"1"`
 	Rate     float64       `help:"Requests per second for each service." default:"600"`
 	Site     string        `help:"Site to run." enum:"lakeshore,graniteHearth" default:"lakeshore"`
-	Work     time.Duration `help:"Mean processing time of a request at a server." default:"10ms"`
+	Work     time.Duration `help:"Mean service time of a request at a server." default:"10ms"`
 	JSON     string        `help:"File to which the rows are also written as JSON."`
 }
 
@@ -110,8 +110,8 @@
 	return printRows(os.Stdout, rows)
 }
 
-// printRows prints the measurements and the oracle's verdict. It returns an error if catkinstep
-// violated a rule.
+// printRows prints the measurements and the oracle's verdict. It returns an error if the oracle
+// found violations by catkinstep; those of a baseline are only printed.
 func printRows(out io.Writer, rows []bench.Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VARIANT\tSERVICE\tREQUESTS\tANSWERED\tNOT RUN\tUNKNOWN\tP50\tP99\tP99.9\tP99 OF ALL\tIMBALANCE\tCHURN (LEAST)\tUNAVAILABLE\tEXTRA WORK\t")
--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -36,8 +36,8 @@
 	File string `short:"f" help:"Site file." required:""`
 }
 
-// Run checks the site file locally before it is sent, so that problems are reported with the
-// local file name.
+// Run puts a site file in force. It checks the file locally first, so that problems are
+// reported with the local file name.
 func (a *applyCmd) Run(ctx context.Context, c *commands) error {
 	data, err := os.ReadFile(a.File)
 	if err != nil {
@@ -72,7 +72,7 @@
 type hostCmd struct {
 	Out struct {
 		Address string `arg:"" help:"A backend server as IP:PORT, or the IP address of a host."`
-		Lost    bool   `help:"Confirm that it has stopped for good: its keys move without its consent."`
+		Lost    bool   `help:"Confirm that it has stopped for good: its keys move without being released."`
 	} `cmd:"" help:"Send no new requests to a host, and move its keys away."`
 	In struct {
 		Address string `arg:"" help:"A backend server as IP:PORT, or the IP address of a host."`
@@ -117,8 +117,8 @@
 		return printJSON(status)
 	}
 	fmt.Printf("accepted: version %d (%s), preset %s\n", status.AcceptedVersion, status.Change, status.Preset)
-	for _, o := range status.Exclusions {
-		fmt.Printf("out: %s%s\n", o.DataCentre, o.Host)
+	for _, e := range status.Exclusions {
+		fmt.Printf("out: %s%s\n", e.DataCentre, e.Host)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DATA CENTRE\tDAEMON\tLEADER\tIN FORCE\t")
--- a/cmd/catkinstep/standin.go
+++ b/cmd/catkinstep/standin.go
@@ -16,7 +16,7 @@
 type standinCmd struct {
 	Platform platformCmd `cmd:"" help:"Run a stand-in for the platform's object API."`
 	Server   serverCmd   `cmd:"" help:"Run a stand-in for one backend server."`
-	Verdict  verdictCmd  `cmd:"" help:"Check the requests that server stand-ins ran for two owners, double runs and overload."`
+	Verdict  verdictCmd  `cmd:"" help:"Check the requests that server stand-ins ran: find keys with two owners, double runs and overload."`
 }
 
 type platformCmd struct {
@@ -42,7 +42,7 @@
 	Keyed      bool          `help:"Run a request only while the server holds its key."`
 	Cold       time.Duration `help:"How long the server is cold after its start." default:"3s"`
 	ColdRate   float64       `help:"How many requests per second the server can handle while cold; 0: never cold." default:"20"`
-	Work       time.Duration `help:"Mean processing time of a request." default:"5ms"`
+	Work       time.Duration `help:"Mean service time of a request." default:"5ms"`
 	Seed       uint64        `help:"Seed of the random numbers." default:"1"`
 }
 
--- a/examples/core/main.go
+++ b/examples/core/main.go
@@ -1,6 +1,6 @@
 // Command core runs the decision logic of a leader without a network. The keeper divides keys
 // between two backend servers, moves them when one server is draining, and moves them again
-// when the other stops answering. The example simulates the clock, so it never waits.
+// when the other stops answering. The clock is simulated, so the example ends at once.
 //
 //	go run ./examples/core
 package main
