--- a/cmd/catkinstep/edge.go
+++ b/cmd/catkinstep/edge.go
@@ -12,6 +12,8 @@
 	bridge "catkinstep/platform"
 )
 
+// edgeCmd is the counterpart of serveCmd for the users' platform. Package bridge, in the folder
+// platform, translates that platform's settings, objects and headers.
 type edgeCmd struct {
 	Settings string `help:"Settings file of the platform." required:"" env:"${settingsEnv}"`
 }
@@ -31,7 +33,7 @@
 }
 
 // reloadOnHangup reads the settings file again on each SIGHUP. Settings that cannot change
-// while the daemon runs, such as its addresses, stay as they are, and a warning is logged.
+// while the daemon runs, such as its addresses, stay as they are; Router.Reload logs a warning.
 func reloadOnHangup(ctx context.Context, file string, r *router.Router, logger *slog.Logger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: right: %d services, %d data centres, preset %s in force\n", c.File, len(s.Services), len(s.DataCentres), s.ActivePreset().Name)
+	fmt.Printf("%s: valid: %d services, %d data centres, preset %s in force\n", c.File, len(s.Services), len(s.DataCentres), s.ActivePreset().Name)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("accepted as version %d: %s (preset %s)\n", accepted.Version, accepted.Change, accepted.Preset)
+	fmt.Printf("accepted as version %d: %s (preset %s)\n", accepted.Version, accepted.Description, accepted.Preset)
 	return nil
 }
 
@@ -116,7 +116,7 @@
 	if s.JSON {
 		return printJSON(status)
 	}
-	fmt.Printf("accepted: version %d (%s), preset %s\n", status.AcceptedVersion, status.Change, status.Preset)
+	fmt.Printf("accepted: version %d (%s), preset %s\n", status.AcceptedVersion, status.ChangeDescription, status.Preset)
 	for _, e := range status.Exclusions {
 		fmt.Printf("out: %s%s\n", e.DataCentre, e.Host)
 	}
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -22,10 +22,10 @@
 // Status is the stored configuration and how far it is in force among the daemons.
 type Status struct {
 	// AcceptedVersion is the version of the stored configuration.
-	AcceptedVersion uint64           `json:"accepted"`
-	Preset          string           `json:"preset"`
-	Change          string           `json:"change"`
-	Exclusions      []site.Exclusion `json:"outs"`
+	AcceptedVersion   uint64           `json:"accepted"`
+	Preset            string           `json:"preset"`
+	ChangeDescription string           `json:"change"`
+	Exclusions        []site.Exclusion `json:"outs"`
 	// InForceEverywhere is set when all known daemons use the accepted version.
 	InForceEverywhere bool           `json:"everywhere"`
 	Daemons           []DaemonStatus `json:"daemons"`
@@ -119,9 +119,9 @@
 
 // applyChange changes the stored configuration, if it is at the version that the operator gave
 // with the request, and writes the result or the error as the response.
-func (h *handler) applyChange(w http.ResponseWriter, r bunrouter.Request, change func(site.Site) (site.Site, error)) error {
+func (h *handler) applyChange(w http.ResponseWriter, r bunrouter.Request, update func(site.Site) (site.Site, error)) error {
 	ifVersion, _ := strconv.ParseUint(r.URL.Query().Get("ifVersion"), 10, 64)
-	result, err := Change(r.Context(), h.daemon.Platform(), ifVersion, change)
+	result, err := ChangeSite(r.Context(), h.daemon.PlatformClient(), ifVersion, update)
 	if err != nil {
 		return writeError(w, err)
 	}
@@ -129,11 +129,11 @@
 }
 
 func (h *handler) status(w http.ResponseWriter, r bunrouter.Request) error {
-	stored, version, err := readSite(r.Context(), h.daemon.Platform())
+	stored, version, err := readSite(r.Context(), h.daemon.PlatformClient())
 	if err != nil {
 		return writeError(w, err)
 	}
-	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, Change: stored.Change, Exclusions: stored.Exclusions, InForceEverywhere: true}
+	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, ChangeDescription: stored.Change, Exclusions: stored.Exclusions, InForceEverywhere: true}
 	cluster := h.daemon.ClusterStatus(r.Context())
 	for _, d := range cluster.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, ConfigVersion: d.Config}
@@ -155,7 +155,7 @@
 }
 
 func (h *handler) burn(w http.ResponseWriter, r bunrouter.Request) error {
-	stored, _, err := readSite(r.Context(), h.daemon.Platform())
+	stored, _, err := readSite(r.Context(), h.daemon.PlatformClient())
 	if err != nil {
 		return writeError(w, err)
 	}
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -11,26 +11,28 @@
 	"catkinstep/io/process/native"
 )
 
-// Platform is the part of the platform's client that changes need.
-type Platform interface {
+// ObjectStore is the part of the platform's object API that changes of the configuration need.
+// *plat.Client implements it.
+type ObjectStore interface {
 	Read(ctx context.Context, name string) (*plat.Object, error)
 	Write(ctx context.Context, name string, ifVersion uint64, value []byte) (*plat.Object, error)
 }
 
-// lostResponseTimeout limits how long Change tries to find out whether a write without a
+// lostResponseTimeout limits how long ChangeSite tries to find out whether a write without a
 // response took effect.
 const lostResponseTimeout = 3 * time.Second
 
-// AcceptedChange is a change of the configuration with the version that resulted from it.
+// AcceptedChange describes a change of the configuration that was stored, and the version that
+// resulted from it.
 type AcceptedChange struct {
-	Version uint64 `json:"version"`
-	Change  string `json:"change"`
-	Preset  string `json:"preset"`
+	Version     uint64 `json:"version"`
+	Description string `json:"change"`
+	Preset      string `json:"preset"`
 }
 
 // readSite reads the stored configuration. Version 0 means that there is none.
-func readSite(ctx context.Context, p Platform) (s site.Site, version uint64, err error) {
-	object, err := p.Read(ctx, native.SiteObject)
+func readSite(ctx context.Context, store ObjectStore) (s site.Site, version uint64, err error) {
+	object, err := store.Read(ctx, native.SiteObject)
 	if err != nil {
 		return s, 0, &Error{Op: "read", Kind: Unreachable, Err: err}
 	}
@@ -43,18 +45,18 @@
 	return s, object.Version, nil
 }
 
-// Change reads the configuration, changes it, and writes it unless it was written in between.
-// If ifVersion is not 0, the configuration must also be at that version, which is the one
-// that the operator has seen.
-func Change(ctx context.Context, p Platform, ifVersion uint64, change func(site.Site) (site.Site, error)) (AcceptedChange, error) {
-	previous, version, err := readSite(ctx, p)
+// ChangeSite reads the configuration, applies update to it, and writes the result unless the
+// configuration was written in between. If ifVersion is not 0, the configuration must also be
+// at that version, which is the one that the operator has seen.
+func ChangeSite(ctx context.Context, store ObjectStore, ifVersion uint64, update func(site.Site) (site.Site, error)) (AcceptedChange, error) {
+	previous, version, err := readSite(ctx, store)
 	if err != nil {
 		return AcceptedChange{}, err
 	}
 	if ifVersion != 0 && ifVersion != version {
 		return AcceptedChange{}, newConflictError(previous, version)
 	}
-	next, err := change(previous)
+	next, err := update(previous)
 	if err != nil {
 		return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
@@ -63,20 +65,21 @@
 	if err != nil {
 		return AcceptedChange{}, &Error{Op: "change", Kind: Invalid, Err: err}
 	}
-	written, err := p.Write(ctx, native.SiteObject, version, value)
+	written, err := store.Write(ctx, native.SiteObject, version, value)
 	switch {
 	case err == nil:
 		return newAcceptedChange(next, written.Version), nil
 	case plat.IsKind(err, plat.Conflict):
-		return resolveConflict(ctx, p, next)
+		return resolveConflict(ctx, store, next)
 	}
-	return resolveLostResponse(ctx, p, next, version, err)
+	return resolveLostResponse(ctx, store, next, version, err)
 }
 
-// resolveConflict returns an error that names the change that caused the conflict. If the
-// conflict is with the change's own write, whose response was lost, the change is accepted.
-func resolveConflict(ctx context.Context, p Platform, next site.Site) (AcceptedChange, error) {
-	stored, err := p.Read(ctx, native.SiteObject)
+// resolveConflict reads the configuration after a write that failed with a conflict. If the
+// stored configuration has the write ID of that write, the change is accepted although its
+// response was lost. Otherwise the error names the change that caused the conflict.
+func resolveConflict(ctx context.Context, store ObjectStore, next site.Site) (AcceptedChange, error) {
+	stored, err := store.Read(ctx, native.SiteObject)
 	if err != nil || stored == nil {
 		return AcceptedChange{}, &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("another change was made first, and it cannot be read: %w", err)}
 	}
@@ -93,13 +96,13 @@
 // resolveLostResponse finds out whether a write without a response took effect. It reads the
 // configuration and recognises its own write by the write ID. It does not repeat the write,
 // since that could undo a change that somebody made in between.
-func resolveLostResponse(ctx context.Context, p Platform, next site.Site, version uint64, cause error) (AcceptedChange, error) {
+func resolveLostResponse(ctx context.Context, store ObjectStore, next site.Site, version uint64, cause error) (AcceptedChange, error) {
 	ctx, cancel := context.WithTimeout(ctx, lostResponseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		stored, err := p.Read(ctx, native.SiteObject)
+		stored, err := store.Read(ctx, native.SiteObject)
 		if err != nil || stored == nil || stored.Version == version {
-			sleep(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond) // poll, as the write may still take effect
 			continue
 		}
 		latest, err := site.Unmarshal(stored.Value)
@@ -120,7 +123,7 @@
 }
 
 func newAcceptedChange(s site.Site, version uint64) AcceptedChange {
-	return AcceptedChange{Version: version, Change: s.Change, Preset: s.ActivePreset().Name}
+	return AcceptedChange{Version: version, Description: s.Change, Preset: s.ActivePreset().Name}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -15,11 +15,11 @@
 	"catkinstep/io/standin/store"
 )
 
-func newTestPlatform() (*store.Store, *plat.Client, func()) {
+func newPlatformStandin() (*store.Store, *plat.Client, func()) {
 	s := store.New()
 	h := httptest.NewServer(s)
 	c := plat.New(h.Listener.Addr().String(), "duluth")
-	_, err := Change(context.Background(), c, 0, func(site.Site) (site.Site, error) {
+	_, err := ChangeSite(context.Background(), c, 0, func(site.Site) (site.Site, error) {
 		return site.Site{Name: "s", Presets: []site.Preset{{Name: "ordinary", Active: true}, {Name: "peak"}}}, nil
 	})
 	So(err, ShouldBeNil)
@@ -29,7 +29,7 @@
 // Guards against a change that is overwritten by a concurrent one without an error.
 func TestConcurrentChanges(t *testing.T) {
 	Convey("Each of a hundred concurrent changes is either stored or refused with a conflict", t, func() {
-		platform, _, stop := newTestPlatform()
+		platform, _, stop := newPlatformStandin()
 		defer stop()
 		address := strings.TrimPrefix(httptest.NewServer(platform).URL, "http://")
 		var mu sync.Mutex
@@ -41,7 +41,7 @@
 			wg.Go(func() {
 				for n := range 50 {
 					host := fmt.Sprintf("10.%d.0.%d", operator, n)
-					_, err := Change(context.Background(), c, 0, func(stored site.Site) (site.Site, error) { return stored.WithExclusion(site.Exclusion{Host: host}) })
+					_, err := ChangeSite(context.Background(), c, 0, func(stored site.Site) (site.Site, error) { return stored.WithExclusion(site.Exclusion{Host: host}) })
 					mu.Lock()
 					switch {
 					case err == nil:
@@ -70,19 +70,19 @@
 // Guards against a change that is reported as failed although it was stored.
 func TestLostResponseAndStaleVersion(t *testing.T) {
 	Convey("An operator's own write is recognised after a lost response", t, func() {
-		platform, c, stop := newTestPlatform()
+		platform, c, stop := newPlatformStandin()
 		defer stop()
 		platform.SetFaults(store.Faults{LoseReplies: 1})
-		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
+		a, err := ChangeSite(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
 		So(a.Preset, ShouldEqual, "peak")
 	})
 	Convey("A change to a stale version is refused, and the error names the newer change", t, func() {
-		_, c, stop := newTestPlatform()
+		_, c, stop := newPlatformStandin()
 		defer stop()
-		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
+		a, err := ChangeSite(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
-		_, err = Change(context.Background(), c, a.Version-1, func(v site.Site) (site.Site, error) { return v.WithPreset("ordinary") })
+		_, err = ChangeSite(context.Background(), c, a.Version-1, func(v site.Site) (site.Site, error) { return v.WithPreset("ordinary") })
 		So(IsKind(err, Conflict), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "preset use peak")
 	})
--- a/io/process/admin/client.go
+++ b/io/process/admin/client.go
@@ -33,17 +33,17 @@
 
 // UsePreset makes a preset the active one.
 func (c *Client) UsePreset(ctx context.Context, name string) (AcceptedChange, error) {
-	return c.change(ctx, "/preset", map[string]any{"name": name})
+	return c.postChange(ctx, "/preset", map[string]any{"name": name})
 }
 
 // Exclude takes a data centre or host out of service.
 func (c *Client) Exclude(ctx context.Context, exclusion site.Exclusion) (AcceptedChange, error) {
-	return c.change(ctx, "/out", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
+	return c.postChange(ctx, "/out", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
 }
 
 // RemoveExclusion puts a data centre or host back into service.
 func (c *Client) RemoveExclusion(ctx context.Context, exclusion site.Exclusion) (AcceptedChange, error) {
-	return c.change(ctx, "/in", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
+	return c.postChange(ctx, "/in", map[string]any{"dataCentre": exclusion.DataCentre, "host": exclusion.Host})
 }
 
 // Status returns which configuration each daemon has in force.
@@ -60,7 +60,7 @@
 	return b, err
 }
 
-func (c *Client) change(ctx context.Context, path string, in any) (AcceptedChange, error) {
+func (c *Client) postChange(ctx context.Context, path string, in any) (AcceptedChange, error) {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return AcceptedChange{}, &Error{Op: path, Kind: Invalid, Err: err}
--- a/io/process/logs/logs_test.go
+++ b/io/process/logs/logs_test.go
@@ -28,14 +28,18 @@
 		for i := range 4 * queueCapacity {
 			log.Info("request: refused, not run", "id", i)
 		}
+		// At most queueCapacity lines are queued, and one is being written, so about three
+		// quarters of the lines are dropped. The check demands only half of them.
 		So(w.Dropped(), ShouldBeGreaterThanOrEqualTo, 2*queueCapacity)
 		close(out.unblock)
 		w.Close()
 	})
 }
 
+// Guards against expensive logging while very many requests are refused, and against lines that
+// are dropped without a report.
 func TestLineRateIsLimited(t *testing.T) {
-	Convey("Lines over the limit are dropped, and their number is reported", t, func() {
+	Convey("Lines over the limit per second are dropped although the queue has room, and their number is reported", t, func() {
 		var out bytes.Buffer
 		fixed := time.Unix(1000, 0)
 		w := New(&out, WithClock(func() time.Time { return fixed }))
--- a/io/process/native/daemon.go
+++ b/io/process/native/daemon.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// gracePeriod covers the time in which a stopping daemon still accepts connections, so
-	// that load balancers notice, and twice the usual longest request.
+	// gracePeriod covers the time in which a stopping daemon still accepts connections, until
+	// load balancers notice that it is not ready, and twice the duration of the longest usual
+	// request.
 	gracePeriod = 10 * time.Second
 	// coldFactor and coldSlack limit the requests that all daemons together send to a cold
 	// server in a second; see setup.Settings. The backend server stand-ins can handle as much.
@@ -33,7 +34,7 @@
 type Daemon struct {
 	*router.Router
 	prefs          prefs.Prefs
-	platform       *plat.Client
+	platformClient *plat.Client
 	operatorServer *http.Server
 	cancel         context.CancelFunc
 	done           chan struct{}
@@ -73,8 +74,8 @@
 	for _, o := range opts {
 		o(&options)
 	}
-	d := &Daemon{prefs: p, platform: plat.New(p.PlatformAddress, p.DataCentre), done: make(chan struct{})}
-	d.Router = router.New(RouterSettings(p), NewStore(d.platform), Protocol{}, router.WithLogger(options.logger))
+	d := &Daemon{prefs: p, platformClient: plat.New(p.PlatformAddress, p.DataCentre), done: make(chan struct{})}
+	d.Router = router.New(RouterSettings(p), NewStore(d.platformClient), Protocol{}, router.WithLogger(options.logger))
 	if options.operatorHandler != nil {
 		l, err := net.Listen("tcp", p.OperatorAddress)
 		if err != nil {
@@ -102,8 +103,8 @@
 // Prefs returns the settings that the daemon was started with.
 func (d *Daemon) Prefs() prefs.Prefs { return d.prefs }
 
-// Platform returns the daemon's client of the platform.
-func (d *Daemon) Platform() *plat.Client { return d.platform }
+// PlatformClient returns the daemon's client of the platform's object API.
+func (d *Daemon) PlatformClient() *plat.Client { return d.platformClient }
 
 // Done returns a channel that is closed once the daemon has ended.
 func (d *Daemon) Done() <-chan struct{} { return d.done }
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -52,13 +52,13 @@
 		ts.servers[s.Address()] = s
 		ts.site.DataCentres[0].Servers = append(ts.site.DataCentres[0].Servers, site.Server{Address: s.Address(), Service: service})
 	}
-	platform := platformServer.Listener.Addr().String()
+	platformAddress := platformServer.Listener.Addr().String()
 	var peers []string
 	for range daemons {
 		peers = append(peers, ports.Free(t))
 	}
 	for _, mesh := range peers {
-		d, err := native.Start(prefs.Prefs{DataCentre: "duluth", CallerAddress: ports.Free(t), MeshAddress: mesh, OperatorAddress: ports.Free(t), PlatformAddress: platform, Peers: peers, MaxBodyBytes: 1000},
+		d, err := native.Start(prefs.Prefs{DataCentre: "duluth", CallerAddress: ports.Free(t), MeshAddress: mesh, OperatorAddress: ports.Free(t), PlatformAddress: platformAddress, Peers: peers, MaxBodyBytes: 1000},
 			native.WithOperatorHandler(admin.Handler))
 		if err != nil {
 			t.Fatal(err)
@@ -75,12 +75,12 @@
 		platformServer.CloseClientConnections()
 		platformServer.Close()
 	})
-	ts.change(func(site.Site) (site.Site, error) { return ts.site, nil })
+	ts.changeSite(func(site.Site) (site.Site, error) { return ts.site, nil })
 	return ts
 }
 
-func (ts *testSite) change(f func(site.Site) (site.Site, error)) admin.AcceptedChange {
-	accepted, err := admin.Change(context.Background(), plat.New(ts.daemons[0].Prefs().PlatformAddress, "duluth"), 0, f)
+func (ts *testSite) changeSite(f func(site.Site) (site.Site, error)) admin.AcceptedChange {
+	accepted, err := admin.ChangeSite(context.Background(), plat.New(ts.daemons[0].Prefs().PlatformAddress, "duluth"), 0, f)
 	if err != nil {
 		ts.t.Fatal(err)
 	}
@@ -141,6 +141,8 @@
 	return condition()
 }
 
+// Guards against daemons that disagree about the server of a key, and against errors that do not
+// tell the caller that the request did not run.
 func TestNativeInterface(t *testing.T) {
 	Convey("Callers reach the servers of a site, and errors have a code", t, func() {
 		ts := newTestSite(t, 2)
@@ -186,15 +188,15 @@
 }
 
 // Guards against requests that start at a server after it was excluded.
-func TestServerTakenOut(t *testing.T) {
-	Convey("Its keys are served elsewhere, and no request reaches it", t, func() {
+func TestExcludedServer(t *testing.T) {
+	Convey("The keys of an excluded server are served elsewhere, and no request reaches it", t, func() {
 		ts := newTestSite(t, 2)
 		d := ts.daemons[0]
 		So(ts.becomesReady(d), ShouldBeTrue)
 		before := ts.send(d, http.MethodGet, "/workshop/benches/7", "")
 		So(before.status, ShouldEqual, http.StatusOK)
 		excluded := before.answer.Server
-		ts.change(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: excluded}) })
+		ts.changeSite(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: excluded}) })
 		So(eventually(3*time.Second, func() bool {
 			a := ts.send(d, http.MethodGet, "/workshop/benches/7", "")
 			return a.status == http.StatusOK && a.answer.Server != excluded
@@ -209,8 +211,8 @@
 
 // Guards against keys that are granted again to a failed server, because it is still listed in
 // the site file.
-func TestServerDies(t *testing.T) {
-	Convey("Its keys are served elsewhere once its grants have expired, and stay available", t, func() {
+func TestFailedServer(t *testing.T) {
+	Convey("The keys of a failed server are served elsewhere once its grants have expired, and stay available", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
 		So(ts.becomesReady(d), ShouldBeTrue)
@@ -229,7 +231,7 @@
 
 // Guards against a booking that runs twice, or is reported as not run, after its response was
 // lost.
-func TestLostAnswer(t *testing.T) {
+func TestLostResponse(t *testing.T) {
 	Convey("A POST runs once and its outcome is reported as unknown, while a GET is retried", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
--- a/io/process/native/retry_test.go
+++ b/io/process/native/retry_test.go
@@ -15,8 +15,10 @@
 )
 
 const (
+	// benchPath is the path of the booking. Its last segment is the key.
 	benchPath = "/workshop/benches/7"
-	bookingID = "order-7"
+	// bookingID is the ID of the booking, which callers send in the header Idempotency-Key.
+	bookingID = "booking-7"
 )
 
 func (ts *testSite) sendBooking(d *native.Daemon) response {
@@ -35,11 +37,11 @@
 	return resp.StatusCode
 }
 
-// sendBookingAndLoseAnswer sends the booking to the holder of its key, which runs it and then
+// sendBookingAndLoseResponse sends the booking to the holder of its key, which runs it and then
 // closes the connection before the end of the response. It returns the holder.
-func (ts *testSite) sendBookingAndLoseAnswer(d *native.Daemon) (holder string) {
+func (ts *testSite) sendBookingAndLoseResponse(d *native.Daemon) (holder string) {
 	holder = ts.send(d, http.MethodGet, benchPath, "").answer.Server
-	ts.servers[holder].SetFaults(server.Faults{CutAnswers: 1})
+	ts.servers[holder].SetFaults(server.Faults{CutAnswers: 1}) // a share: all responses are cut
 	So(ts.sendBooking(d).failure.Outcome, ShouldEqual, native.OutcomeUnknown)
 	ts.servers[holder].SetFaults(server.Faults{})
 	return holder
@@ -48,7 +50,7 @@
 // Guards against a caller that gets the response to another caller's booking, because both use
 // the same ID.
 func TestSameIDForDifferentBookings(t *testing.T) {
-	Convey("With a different key it is a different booking; with the same key it is refused", t, func() {
+	Convey("The same ID with a different key is a different booking; with the same key but another path it is rejected", t, func() {
 		ts := newTestSite(t, 1)
 		d := ts.daemons[0]
 		So(ts.becomesReady(d), ShouldBeTrue)
@@ -66,10 +68,10 @@
 // Guards against a booking that runs twice, or is never answered, when the caller retries it
 // with the same ID.
 func TestRetriedBooking(t *testing.T) {
-	Convey("The holder of its key runs it once and answers each retry, through any daemon", t, func() {
+	Convey("The holder of the key runs the booking once and answers each retry, through any daemon", t, func() {
 		ts := newTestSite(t, 2)
 		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
-		holder := ts.sendBookingAndLoseAnswer(ts.daemons[0])
+		holder := ts.sendBookingAndLoseResponse(ts.daemons[0])
 		for range 3 {
 			for _, d := range ts.daemons {
 				a := ts.sendBooking(d)
@@ -77,15 +79,15 @@
 				So(a.answer.ID, ShouldEqual, bookingID)
 			}
 		}
-		Convey("also after its key has moved", func() {
-			ts.change(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: holder}) })
+		Convey("a retry after the key has moved gets the response of the first run", func() {
+			ts.changeSite(func(s site.Site) (site.Site, error) { return s.WithExclusion(site.Exclusion{Host: holder}) })
 			So(eventually(4*time.Second, func() bool {
 				a := ts.send(ts.daemons[1], http.MethodGet, benchPath, "")
 				return a.status == http.StatusOK && a.answer.Server != holder
 			}), ShouldBeTrue)
 			a := ts.sendBooking(ts.daemons[1])
 			So(a.status, ShouldEqual, http.StatusOK)
-			So(a.answer.Server, ShouldEqual, holder) // the response is that of the server that ran it
+			So(a.answer.Server, ShouldEqual, holder) // which ran the booking, and does not hold the key any more
 		})
 		So(ts.oracle.Verdict().Total(), ShouldEqual, 0)
 	})
@@ -94,7 +96,7 @@
 // Guards against a booking that runs twice when it is retried, in a service whose keys are the
 // request IDs.
 func TestRetriedBookingWithIDAsKey(t *testing.T) {
-	Convey("The ID is the key: the same server answers the retry, and other servers get other bookings", t, func() {
+	Convey("The retry does not run the booking again, and bookings with other IDs reach both servers", t, func() {
 		ts := newTestSite(t, 2)
 		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		for _, v := range ts.servers {
@@ -114,6 +116,7 @@
 			answeredBy[a.answer.Server] = true
 		}
 		So(len(answeredBy), ShouldEqual, 2)
+		// A GET has a key as well, since send adds an ID.
 		So(ts.send(ts.daemons[0], http.MethodGet, "/labels/print", "").status, ShouldEqual, http.StatusOK)
 		So(ts.oracle.Verdict().Total(), ShouldEqual, 0)
 	})
@@ -122,15 +125,16 @@
 // Guards against a booking that runs twice because the server that ran it failed and the new
 // holder of the key does not know about it.
 func TestRetriedBookingAfterHolderLoss(t *testing.T) {
-	Convey("The retry is refused, other bookings run", t, func() {
+	Convey("The retry gets an error with an unknown outcome, and other bookings run", t, func() {
 		ts := newTestSite(t, 2)
 		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
-		failed := ts.sendBookingAndLoseAnswer(ts.daemons[0])
+		failed := ts.sendBookingAndLoseResponse(ts.daemons[0])
 		ts.servers[failed].Stop()
 		for _, d := range ts.daemons {
 			So(eventually(9*time.Second, func() bool { return ts.send(d, http.MethodPost, benchPath, "{}").status == http.StatusOK }), ShouldBeTrue)
 			a := ts.sendBooking(d)
 			So(a.status, ShouldEqual, http.StatusBadGateway)
+			// The new holder does not know whether the failed one ran the booking.
 			So(a.failure.Code, ShouldEqual, "outcomeLost")
 			So(a.failure.Outcome, ShouldEqual, native.OutcomeUnknown)
 		}
