--- a/cmd/catkinstep/operator.go
+++ b/cmd/catkinstep/operator.go
@@ -156,15 +156,15 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tDATA CENTRE\tWINDOW\tREQUESTS\tANSWERED BURN\tFAST BURN\tCAUSE\tNOT KNOWN\t")
-	for _, v := range r.Rows {
-		dataCentre, unobserved := v.DataCentre, ""
+	for _, row := range r.Rows {
+		dataCentre, unobserved := row.DataCentre, ""
 		if dataCentre == "" {
 			dataCentre = "all"
 		}
-		if v.ObservedFor < v.Window {
-			unobserved = (v.Window - v.ObservedFor).Round(time.Second).String()
+		if row.ObservedFor < row.Window {
+			unobserved = (row.Window - row.ObservedFor).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%.2f\t%.2f\t%s\t%s\t\n", v.Service, dataCentre, v.Window, v.Requests, v.AnsweredBurn, v.FastBurn, v.Cause, unobserved)
+		fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%.2f\t%.2f\t%s\t%s\t\n", row.Service, dataCentre, row.Window, row.Requests, row.AnsweredBurn, row.FastBurn, row.Cause, unobserved)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/io/process/native/daemon.go
+++ b/io/process/native/daemon.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Start starts a daemon. It returns an error if the operators' address cannot be opened;
+// Start starts a daemon. It returns an error if it cannot listen at the operators' address;
 // failures of the router are reported by Done and Err.
 func Start(p prefs.Prefs, opts ...Option) (*Daemon, error) {
 	options := startOptions{logger: slog.New(slog.DiscardHandler)}
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -57,8 +57,8 @@
 	for range daemons {
 		peers = append(peers, ports.Free(t))
 	}
-	for _, mesh := range peers {
-		d, err := native.Start(prefs.Prefs{DataCentre: "duluth", CallerAddress: ports.Free(t), MeshAddress: mesh, OperatorAddress: ports.Free(t), PlatformAddress: platformAddress, Peers: peers, MaxBodyBytes: 1000},
+	for _, meshAddress := range peers {
+		d, err := native.Start(prefs.Prefs{DataCentre: "duluth", CallerAddress: ports.Free(t), MeshAddress: meshAddress, OperatorAddress: ports.Free(t), PlatformAddress: platformAddress, Peers: peers, MaxBodyBytes: 1000},
 			native.WithOperatorHandler(admin.Handler))
 		if err != nil {
 			t.Fatal(err)
@@ -201,6 +201,8 @@
 			a := ts.send(d, http.MethodGet, "/workshop/benches/7", "")
 			return a.status == http.StatusOK && a.answer.Server != excluded
 		}), ShouldBeTrue)
+		// The oracle accepts new requests in the first two seconds after an exclusion. The server
+		// gets none any more, so these seconds are set in the past.
 		ts.oracle.Out("", excluded, time.Now().Add(-2*time.Second))
 		for range 10 {
 			So(ts.send(d, http.MethodGet, "/workshop/benches/7", "").answer.Server, ShouldNotEqual, excluded)
@@ -245,6 +247,6 @@
 		So(f.failure.Outcome, ShouldEqual, native.OutcomeUnknown)
 		So(ts.oracle.Runs(), ShouldEqual, runsBefore+1)
 		ts.send(d, http.MethodGet, "/intake/parcels/1", "")
-		So(ts.oracle.Runs(), ShouldEqual, runsBefore+3)
+		So(ts.oracle.Runs(), ShouldEqual, runsBefore+3) // the GET ran twice
 	})
 }
--- a/io/process/native/error.go
+++ b/io/process/native/error.go
@@ -7,7 +7,7 @@
 
 // Kinds of errors.
 const (
-	ListenFailed Kind = "address" // an address could not be opened
+	ListenFailed Kind = "address" // the daemon cannot listen at an address
 	StopTimeout  Kind = "stopped" // the daemon did not stop in time
 )
 
