--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -51,7 +51,7 @@
 
 type handler struct{ daemon *native.Daemon }
 
-// Handler returns the handler of a daemon's operators' interface.
+// Handler returns the handler of a daemon's operator interface.
 func Handler(d *native.Daemon) http.Handler {
 	h := &handler{daemon: d}
 	r := bunrouter.New()
--- a/io/process/admin/client.go
+++ b/io/process/admin/client.go
@@ -12,14 +12,14 @@
 	"catkinstep/core/version/site"
 )
 
-// Client calls the operators' interface of a daemon for the command line.
+// Client calls the operator interface of a daemon for the command line.
 type Client struct {
 	baseURL    string
 	token      string
 	httpClient *http.Client
 }
 
-// NewClient returns a client of the daemon with an operators' address. The token may be empty.
+// NewClient returns a client of the daemon at an operator address. The token may be empty.
 func NewClient(address, token string) *Client {
 	return &Client{baseURL: "http://" + address, token: token, httpClient: &http.Client{Timeout: 10 * time.Second}}
 }
--- a/io/process/admin/doc.go
+++ b/io/process/admin/doc.go
@@ -1,4 +1,4 @@
-// Package admin implements the operators' HTTP interface of a daemon: changes of the
+// Package admin implements the HTTP operator interface of a daemon: changes of the
 // configuration, which is a site.Site and is stored as one platform object, the status of all
 // daemons, the report on error budgets (the burn report), and the daemon's metrics.
 //
--- a/io/process/native/daemon.go
+++ b/io/process/native/daemon.go
@@ -52,7 +52,7 @@
 // WithLogger sets the logger of the daemon's decisions. By default nothing is logged.
 func WithLogger(l *slog.Logger) Option { return func(options *startOptions) { options.logger = l } }
 
-// WithOperatorHandler makes the daemon serve the operators' interface with the handler that
+// WithOperatorHandler makes the daemon serve the operator interface with the handler that
 // newHandler returns.
 func WithOperatorHandler(newHandler func(*Daemon) http.Handler) Option {
 	return func(options *startOptions) { options.operatorHandler = newHandler }
@@ -67,7 +67,7 @@
 	}
 }
 
-// Start starts a daemon. It returns an error if it cannot listen at the operators' address;
+// Start starts a daemon. It returns an error if it cannot listen at the operator address;
 // failures of the router are reported by Done and Err.
 func Start(p prefs.Prefs, opts ...Option) (*Daemon, error) {
 	options := startOptions{logger: slog.New(slog.DiscardHandler)}
