--- a/cmd/catkinstep/bench.go
+++ b/cmd/catkinstep/bench.go
@@ -27,7 +27,7 @@
 	if d.Site == "graniteHearth" {
 		plan = stage.GraniteHearth()
 	}
-	opts := []bench.Option{bench.WithPlan(plan), bench.WithFor(d.For), bench.WithSeed(d.Seed), bench.WithRate(d.Rate), bench.WithProgress(os.Stdout)}
+	opts := []bench.Option{bench.WithPlan(plan), bench.WithDuration(d.For), bench.WithSeed(d.Seed), bench.WithRate(d.Rate), bench.WithProgress(os.Stdout)}
 	if c.LogLevel == "debug" {
 		opts = append(opts, bench.WithLogger(c.logger()))
 	}
@@ -46,7 +46,7 @@
 
 // Run measures how long keys are not served after a loss.
 func (o *outagesCmd) Run(ctx context.Context) error {
-	got, err := bench.Outages(ctx, o.Kind, o.Tries, bench.WithSeed(o.Seed), bench.WithProgress(os.Stderr))
+	got, err := bench.MeasureOutages(ctx, o.Kind, o.Tries, bench.WithSeed(o.Seed), bench.WithProgress(os.Stderr))
 	if err != nil {
 		return err
 	}
@@ -80,15 +80,15 @@
 
 // Run measures a scenario.
 func (b *benchCmd) Run(ctx context.Context, c *commands) error {
-	opts := []bench.Option{bench.WithFor(b.For), bench.WithSeed(b.Seed), bench.WithRate(b.Rate), bench.WithProgress(os.Stderr)}
+	opts := []bench.Option{bench.WithDuration(b.For), bench.WithSeed(b.Seed), bench.WithRate(b.Rate), bench.WithProgress(os.Stderr)}
 	plan := stage.Lakeshore()
 	if b.Site == "graniteHearth" {
 		plan = stage.GraniteHearth()
 	}
-	plan.Work = b.Work
+	plan.MeanServiceTime = b.Work
 	opts = append(opts, bench.WithPlan(plan))
 	if b.Against != "" {
-		opts = append(opts, bench.Against(b.Against))
+		opts = append(opts, bench.WithVariant(b.Against))
 	}
 	if c.LogLevel == "debug" {
 		opts = append(opts, bench.WithLogger(c.logger()))
@@ -117,7 +117,7 @@
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%.3f%%\t%d\t%d\t%v\t%v\t%v\t%v\t%.2f\t%d (%d)\t%v\t%.2f%%\t\n", r.Variant, r.Service, r.Requests,
 			100*float64(r.Answered)/float64(max(1, r.Requests)), r.RefusedNotRun, r.Unknown, r.P50, r.P99, r.P999, r.P99All,
-			r.Imbalance, r.Churn, r.LeastChurn, r.Unavailable, 100*r.ExtraWork)
+			r.Imbalance, r.Churn, r.LeastChurn, r.Unavailable, 100*r.DuplicateRunShare)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -139,8 +139,8 @@
 		}
 	}
 	for _, r := range rows {
-		if len(r.Codes) > 0 {
-			fmt.Fprintf(out, "%s %s refusals and unknowns: %v\n", r.Variant, r.Service, r.Codes)
+		if len(r.ErrorCodes) > 0 {
+			fmt.Fprintf(out, "%s %s refusals and unknowns: %v\n", r.Variant, r.Service, r.ErrorCodes)
 		}
 	}
 	if bad > 0 {
--- a/cmd/catkinstep/standin.go
+++ b/cmd/catkinstep/standin.go
@@ -50,7 +50,7 @@
 func (s *serverCmd) Run(ctx context.Context) error {
 	v := server.New(server.Config{
 		Address: s.Listen, Service: s.Service, DataCentre: s.DataCentre, Slots: s.Slots,
-		Keyed: s.Keyed, Work: s.Work, Cold: s.Cold, ColdRate: s.ColdRate, Seed: s.Seed,
+		Keyed: s.Keyed, MeanServiceTime: s.Work, ColdPeriod: s.Cold, ColdRate: s.ColdRate, Seed: s.Seed,
 	}, nil)
 	if err := v.Start(); err != nil {
 		return err
@@ -73,11 +73,11 @@
 			return fmt.Errorf("verdict: %s: %w", address, err)
 		}
 		for _, r := range runs {
-			o.Ran(r)
+			o.RecordRun(r)
 		}
 	}
 	verdict := o.Verdict()
-	fmt.Printf("%d runs\n", o.Runs())
+	fmt.Printf("%d runs\n", o.RunCount())
 	if err := printJSON(verdict); err != nil {
 		return err
 	}
--- a/io/connection/plat/plat_test.go
+++ b/io/connection/plat/plat_test.go
@@ -37,7 +37,7 @@
 	Convey("A write whose reply was lost is reported as unsure, and was made once", t, func() {
 		s, c, stop := platform()
 		defer stop()
-		s.SetFaults(store.Faults{LoseReplies: 1})
+		s.SetFaults(store.Faults{LostReplyShare: 1})
 		_, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(plat.Is(err, plat.Unsure), ShouldBeTrue)
 		value, version := s.Value("site")
@@ -47,10 +47,10 @@
 	Convey("A data centre that is cut off reaches nothing, the others do", t, func() {
 		s, c, stop := platform()
 		defer stop()
-		s.SetFaults(store.Faults{DownFor: []string{"duluth"}})
+		s.SetFaults(store.Faults{DownDataCentres: []string{"duluth"}})
 		_, err := c.Read(ctx, "site")
 		So(plat.Is(err, plat.Unreachable), ShouldBeTrue)
-		s.SetFaults(store.Faults{DownFor: []string{"toledo"}})
+		s.SetFaults(store.Faults{DownDataCentres: []string{"toledo"}})
 		_, err = c.Read(ctx, "site")
 		So(err, ShouldBeNil)
 	})
@@ -69,7 +69,7 @@
 			next, _ := c.Changed(ctx, "site", got.Revision, 3*time.Second)
 			later <- next
 		}()
-		for s.Calls()["watch duluth"] < 2 {
+		for s.CallCounts()["watch duluth"] < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		_, err = c.Write(ctx, "site", first.Version, []byte("b"))
@@ -77,7 +77,7 @@
 		next := <-later
 		So(next.Objects, ShouldHaveLength, 1)
 		So(string(next.Objects[0].Value), ShouldEqual, "b")
-		So(s.Calls()["watch duluth"], ShouldEqual, 2)
+		So(s.CallCounts()["watch duluth"], ShouldEqual, 2)
 	})
 	Convey("A watch that hears nothing ends, and says up to when", t, func() {
 		_, c, stop := platform()
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -72,7 +72,7 @@
 	Convey("An operator's own write is recognised after a lost reply", t, func() {
 		s, c, stop := begin()
 		defer stop()
-		s.SetFaults(store.Faults{LoseReplies: 1})
+		s.SetFaults(store.Faults{LostReplyShare: 1})
 		a, err := Change(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
 		So(a.Preset, ShouldEqual, "peak")
--- a/io/process/native/again_test.go
+++ b/io/process/native/again_test.go
@@ -35,7 +35,7 @@
 // bookWithoutAnswer sends the booking to its holder, which runs it and cuts the answer off.
 func (y *yard) bookWithoutAnswer(d *native.Daemon) (holder string) {
 	holder = y.ask(d, http.MethodGet, bench, "").answer.Server
-	y.servers[holder].SetFaults(server.Faults{CutAnswers: 1})
+	y.servers[holder].SetFaults(server.Faults{TruncatedShare: 1})
 	So(y.book(d).failure.Ran, ShouldEqual, native.OutcomeUnknown)
 	y.servers[holder].SetFaults(server.Faults{})
 	return holder
@@ -91,7 +91,7 @@
 		y := newYard(t, 2)
 		So(y.settles(y.daemons[0]) && y.settles(y.daemons[1]), ShouldBeTrue)
 		for _, v := range y.servers {
-			v.SetFaults(server.Faults{CutAnswers: 1})
+			v.SetFaults(server.Faults{TruncatedShare: 1})
 		}
 		send := func(d *native.Daemon, id string) got { return y.askID(d, http.MethodPost, id, "/labels/print", "{}") }
 		So(send(y.daemons[0], booking).failure.Ran, ShouldEqual, native.OutcomeUnknown)
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -44,7 +44,7 @@
 		Services: []site.Service{{Name: "intake", Slots: 3, MaxConnections: 30}, {Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, MaxConnections: 30},
 			{Name: "labels", Keyed: true, KeyByID: true, Slots: 3, MaxConnections: 30}}}
 	for _, service := range []string{"intake", "intake", "workshop", "workshop", "labels", "labels"} {
-		v := server.New(server.Config{Address: ports.Free(t), Service: service, DataCentre: "duluth", Slots: 3, Keyed: service != "intake", Work: 5 * time.Millisecond}, y.oracle)
+		v := server.New(server.Config{Address: ports.Free(t), Service: service, DataCentre: "duluth", Slots: 3, Keyed: service != "intake", MeanServiceTime: 5 * time.Millisecond}, y.oracle)
 		if err := v.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -90,7 +90,7 @@
 type got struct {
 	status  int
 	header  http.Header
-	answer  server.Answer
+	answer  server.Response
 	failure native.Failure
 }
 
@@ -197,7 +197,7 @@
 			a := y.ask(d, http.MethodGet, "/workshop/benches/7", "")
 			return a.status == http.StatusOK && a.answer.Server != out
 		}), ShouldBeTrue)
-		y.oracle.Out("", out, time.Now().Add(-2*time.Second))
+		y.oracle.RecordExclusion("", out, time.Now().Add(-2*time.Second))
 		for range 10 {
 			So(y.ask(d, http.MethodGet, "/workshop/benches/7", "").answer.Server, ShouldNotEqual, out)
 		}
@@ -231,14 +231,14 @@
 		d := y.daemons[0]
 		So(y.settles(d), ShouldBeTrue)
 		for _, v := range y.servers {
-			v.SetFaults(server.Faults{CutAnswers: 1})
+			v.SetFaults(server.Faults{TruncatedShare: 1})
 		}
-		ran := y.oracle.Runs()
+		ran := y.oracle.RunCount()
 		f := y.ask(d, http.MethodPost, "/intake/labels/1", "{}")
 		So(f.status, ShouldEqual, http.StatusBadGateway)
 		So(f.failure.Ran, ShouldEqual, native.OutcomeUnknown)
-		So(y.oracle.Runs(), ShouldEqual, ran+1)
+		So(y.oracle.RunCount(), ShouldEqual, ran+1)
 		y.ask(d, http.MethodGet, "/intake/parcels/1", "")
-		So(y.oracle.Runs(), ShouldEqual, ran+3)
+		So(y.oracle.RunCount(), ShouldEqual, ran+3)
 	})
 }
--- a/io/standin/bench/bench.go
+++ b/io/standin/bench/bench.go
@@ -38,15 +38,15 @@
 	P99           Duration `json:"p99"`
 	P999          Duration `json:"p999"`
 	// P99All counts a lookup that was not answered as the caller's time limit.
-	P99All      Duration       `json:"p99All"`
-	Imbalance   float64        `json:"imbalance"`
-	Churn       int            `json:"churn"`
-	LeastChurn  int            `json:"leastChurn"`
-	Unavailable Duration       `json:"unavailableTime"`
-	ExtraWork   float64        `json:"extraWork"`
-	Violations  oracle.Verdict `json:"violations"`
-
-	Codes map[string]uint64 `json:"codes,omitempty"`
+	P99All            Duration       `json:"p99All"`
+	Imbalance         float64        `json:"imbalance"`
+	Churn             int            `json:"churn"`
+	LeastChurn        int            `json:"leastChurn"`
+	Unavailable       Duration       `json:"unavailableTime"`
+	DuplicateRunShare float64        `json:"extraWork"`
+	Violations        oracle.Verdict `json:"violations"`
+
+	ErrorCodes map[string]uint64 `json:"codes,omitempty"`
 }
 
 // Duration is a time that JSON shows as Go text.
@@ -74,7 +74,7 @@
 func WithPlan(p stage.Plan) Option { return func(r *run) { r.plan = p } }
 
 // WithFor sets how long the load runs.
-func WithFor(d time.Duration) Option { return func(r *run) { r.length = d } }
+func WithDuration(d time.Duration) Option { return func(r *run) { r.duration = d } }
 
 // WithProgress tells what happens, a line each.
 func WithProgress(w io.Writer) Option { return func(r *run) { r.progress = w } }
@@ -86,35 +86,37 @@
 func WithRate(rate float64) Option { return func(r *run) { r.rate = rate } }
 
 // Against adds a variant to measure after catkinstep.
-func Against(variant string) Option { return func(r *run) { r.variants = append(r.variants, variant) } }
+func WithVariant(variant string) Option {
+	return func(r *run) { r.variants = append(r.variants, variant) }
+}
 
 // run is one variant's run in the making.
 type run struct {
 	plan     stage.Plan
 	seed     uint64
-	length   time.Duration
+	duration time.Duration
 	rate     float64
 	progress io.Writer
 	log      *slog.Logger
 	variants []string
 	scenario scenario
 
-	stage  *stage.Stage
-	direct *direct.Direct
-	churn  *stage.Churn
-	gens   []*load.Generator
-	began  time.Time
+	cluster       *stage.Cluster
+	baseline      *direct.Baseline
+	churn         *stage.Churn
+	generators    []*load.Generator
+	loadStartedAt time.Time
 }
 
 // ErrScenario is an unknown scenario.
-var ErrScenario = errors.New("no such scenario")
+var ErrUnknownScenario = errors.New("no such scenario")
 
 // Run measures a scenario, catkinstep first.
 func Run(ctx context.Context, name string, opts ...Option) ([]Row, error) {
 	base := newRun(opts)
 	s, ok := scenarios()[name]
 	if !ok {
-		return nil, fmt.Errorf("bench: %w: %q", ErrScenario, name)
+		return nil, fmt.Errorf("bench: %w: %q", ErrUnknownScenario, name)
 	}
 	base.scenario = s
 	var rows []Row
@@ -131,9 +133,9 @@
 
 // newRun fills in what the options leave open.
 func newRun(opts []Option) run {
-	r := run{plan: stage.Lakeshore(), seed: 1, length: 20 * time.Second, rate: 600, progress: io.Discard,
+	r := run{plan: stage.Lakeshore(), seed: 1, duration: 20 * time.Second, rate: 600, progress: io.Discard,
 		log: slog.New(slog.DiscardHandler), variants: []string{Catkinstep}}
-	r.plan.Work = 10 * time.Millisecond
+	r.plan.MeanServiceTime = 10 * time.Millisecond
 	for _, o := range opts {
 		o(&r)
 	}
@@ -147,13 +149,13 @@
 		return nil, err
 	}
 	defer r.stop()
-	r.say("%s: %s is up: curl http://%s/%s", name, variant, r.Pick(0), r.example())
-	r.warm(ctx)
-	r.churn = stage.NewChurn(ctx, r.stage)
-	r.load(ctx)
-	verdict := r.stage.Oracle.Verdict()
+	r.progressf("%s: %s is up: curl http://%s/%s", name, variant, r.Pick(0), r.exampleRoute())
+	r.warmUp(ctx)
+	r.churn = stage.NewChurn(ctx, r.cluster)
+	r.runLoad(ctx)
+	verdict := r.cluster.Oracle.Verdict()
 	var rows []Row
-	for _, g := range r.gens {
+	for _, g := range r.generators {
 		rows = append(rows, r.row(name, variant, g.Result(), verdict))
 	}
 	return rows, nil
@@ -165,25 +167,25 @@
 		opts = append(opts, stage.WithoutDaemons())
 	}
 	var err error
-	if r.stage, err = stage.Start(r.plan, opts...); err != nil {
+	if r.cluster, err = stage.Start(r.plan, opts...); err != nil {
 		return err
 	}
-	for _, s := range r.stage.Servers {
+	for _, s := range r.cluster.Servers {
 		s.Warm()
 	}
 	if variant == Baseline {
-		r.direct = direct.New(r.stage.Site())
-		for i := range r.stage.BareHosts() {
-			if err := r.direct.Start(r.stage.BareAddress(i)); err != nil {
+		r.baseline = direct.New(r.cluster.Site())
+		for i := range r.cluster.BaselineHosts() {
+			if err := r.baseline.Start(r.cluster.BaselineAddress(i)); err != nil {
 				r.stop()
 				return err
 			}
 		}
 		return nil
 	}
-	ready, cancel := context.WithTimeout(ctx, 20*time.Second)
+	readyCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	if err := r.stage.Ready(ready); err != nil {
+	if err := r.cluster.Ready(readyCtx); err != nil {
 		r.stop()
 		return err
 	}
@@ -191,96 +193,96 @@
 }
 
 func (r *run) stop() {
-	if r.direct != nil {
-		r.direct.Stop()
+	if r.baseline != nil {
+		r.baseline.Stop()
 	}
-	r.stage.Stop()
+	r.cluster.Stop()
 }
 
 // Pick implements load.Balancer for both variants.
 func (r *run) Pick(n uint64) string {
-	if r.direct != nil {
-		return r.stage.BareAddress(int(n % uint64(r.stage.BareHosts())))
+	if r.baseline != nil {
+		return r.cluster.BaselineAddress(int(n % uint64(r.cluster.BaselineHosts())))
 	}
-	return r.stage.Pick(n)
+	return r.cluster.Pick(n)
 }
 
 // Killed implements load.Balancer.
-func (r *run) Killed(address string) bool { return r.stage.Killed(address) }
+func (r *run) WasKilled(address string) bool { return r.cluster.WasKilled(address) }
 
-func (r *run) say(format string, args ...any) {
-	at := ""
-	if !r.began.IsZero() {
-		at = fmt.Sprintf("%6.1fs ", time.Since(r.began).Seconds())
+func (r *run) progressf(format string, args ...any) {
+	elapsed := ""
+	if !r.loadStartedAt.IsZero() {
+		elapsed = fmt.Sprintf("%6.1fs ", time.Since(r.loadStartedAt).Seconds())
 	}
-	_, _ = fmt.Fprintf(r.progress, at+format+"\n", args...)
+	_, _ = fmt.Fprintf(r.progress, elapsed+format+"\n", args...)
 }
 
-func (r *run) example() string {
-	for _, s := range r.stage.Site().Services {
+func (r *run) exampleRoute() string {
+	for _, s := range r.cluster.Site().Services {
 		if s.Keyed {
 			return s.Name + "/items/any-key"
 		}
 	}
-	return r.stage.Site().Services[0].Name + "/items"
+	return r.cluster.Site().Services[0].Name + "/items"
 }
 
 // warm lets the limits climb before anything is measured.
-func (r *run) warm(ctx context.Context) {
-	for i, s := range r.stage.Site().Services {
-		r.gens = append(r.gens, load.New(load.Config{
-			Service: s.Name, Path: "/items/KEY", Rate: r.rate, Bookings: r.scenario.bookings,
-			Keys: 20000, Skew: r.scenario.skew, Timeout: s.DefaultTimeout, RunsOnce: s.Keyed, Seed: r.seed*100 + uint64(i),
-		}, r, r.stage.Oracle))
+func (r *run) warmUp(ctx context.Context) {
+	for i, s := range r.cluster.Site().Services {
+		r.generators = append(r.generators, load.New(load.Config{
+			Service: s.Name, Path: "/items/KEY", Rate: r.rate, NonIdempotentShare: r.scenario.nonIdempotentShare,
+			Keys: 20000, ZipfExponent: r.scenario.zipfExponent, Timeout: s.DefaultTimeout, DedupByID: s.Keyed, Seed: r.seed*100 + uint64(i),
+		}, r, r.cluster.Oracle))
 	}
-	warm, cancel := context.WithTimeout(ctx, warmFor)
+	warmUpCtx, cancel := context.WithTimeout(ctx, warmUpDuration)
 	defer cancel()
-	r.runAll(warm)
-	for _, g := range r.gens {
+	r.runGenerators(warmUpCtx)
+	for _, g := range r.generators {
 		g.Reset()
 	}
 }
 
-func (r *run) runAll(ctx context.Context) {
+func (r *run) runGenerators(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, g := range r.gens {
+	for _, g := range r.generators {
 		wg.Go(func() { g.Run(ctx) })
 	}
 	wg.Wait()
 }
 
-func (r *run) load(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.length)
+func (r *run) runLoad(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, r.duration)
 	defer cancel()
-	r.began = time.Now()
+	r.loadStartedAt = time.Now()
 	var wg sync.WaitGroup
-	wg.Go(func() { r.scenario.events(ctx, r) })
-	r.runAll(ctx)
+	wg.Go(func() { r.scenario.inject(ctx, r) })
+	r.runGenerators(ctx)
 	wg.Wait()
 }
 
 func (r *run) row(name, variant string, res load.Result, v oracle.Verdict) Row {
-	at := func(q float64) Duration {
-		return Duration(time.Duration(res.Latency.ValueAtQuantile(q)) * time.Microsecond)
+	quantile := func(q float64) Duration {
+		return Duration(time.Duration(res.AnsweredLatency.ValueAtQuantile(q)) * time.Microsecond)
 	}
-	moves, least := r.churn.Moves(res.Service)
+	moves, minMoves := r.churn.Moves(res.Service)
 	return Row{
 		Scenario: name, Variant: variant, Seed: r.seed, Service: res.Service,
 		Requests: res.Requests, Answered: res.Answered, RefusedNotRun: res.NotRun, Unknown: res.Unknown,
-		P50: at(50), P99: at(99), P999: at(99.9),
-		P99All:    Duration(time.Duration(res.All.ValueAtQuantile(99)) * time.Microsecond),
-		Imbalance: r.stage.Oracle.Imbalance(res.Service, r.began, time.Now(), len(r.servers(res.Service))),
-		Churn:     moves, LeastChurn: least, Unavailable: Duration(res.LongestOutage),
-		ExtraWork: r.stage.Oracle.ExtraWork(res.Service, r.began), Violations: v, Codes: res.Codes,
+		P50: quantile(50), P99: quantile(99), P999: quantile(99.9),
+		P99All:    Duration(time.Duration(res.AllLatency.ValueAtQuantile(99)) * time.Microsecond),
+		Imbalance: r.cluster.Oracle.Imbalance(res.Service, r.loadStartedAt, time.Now(), len(r.servers(res.Service))),
+		Churn:     moves, LeastChurn: minMoves, Unavailable: Duration(res.LongestOutage),
+		DuplicateRunShare: r.cluster.Oracle.DuplicateRunShare(res.Service, r.loadStartedAt), Violations: v, ErrorCodes: res.ErrorCodes,
 	}
 }
 
 func (r *run) servers(service string) []string {
-	var out []string
-	for _, d := range r.stage.Site().DataCentres {
-		out = append(out, r.stage.ServersIn(d.Name, service)...)
+	var addresses []string
+	for _, d := range r.cluster.Site().DataCentres {
+		addresses = append(addresses, r.cluster.ServersIn(d.Name, service)...)
 	}
-	return out
+	return addresses
 }
 
-const warmFor = 4 * time.Second
+const warmUpDuration = 4 * time.Second
--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -15,15 +15,15 @@
 
 // Outage is what one kind of loss cost over several tries.
 type Outage struct {
-	Kind  string `json:"kind"`
-	Tries int    `json:"tries"`
+	Kind   string `json:"kind"`
+	Trials int    `json:"tries"`
 	// Median and Longest are the longest time that any of the keys asked for was
 	// not served, in each try.
 	Median  Duration `json:"median"`
 	Longest Duration `json:"longest"`
 	// LastWork is, for a data centre taken out, when after the command's return
 	// the last new order began there, at the latest.
-	LastWork Duration `json:"lastWork"`
+	LastStart Duration `json:"lastWork"`
 }
 
 // OutageKinds lists the losses that Outages knows.
@@ -32,51 +32,51 @@
 }
 
 // probes is how many keys are asked for without a pause, each by one caller.
-const probes = 48
+const probeCount = 48
 
 // Outages measures how long keys are not served after a loss.
-func Outages(ctx context.Context, kind string, tries int, opts ...Option) (Outage, error) {
+func MeasureOutages(ctx context.Context, kind string, trials int, opts ...Option) (Outage, error) {
 	r := newRun(opts)
 	if !slices.Contains(OutageKinds(), kind) {
-		return Outage{}, fmt.Errorf("bench: %w: %q", ErrScenario, kind)
+		return Outage{}, fmt.Errorf("bench: %w: %q", ErrUnknownScenario, kind)
 	}
 	if err := r.start(ctx, Catkinstep); err != nil {
 		return Outage{}, err
 	}
 	defer r.stop()
-	out := Outage{Kind: kind, Tries: tries}
-	var worst []time.Duration
-	for n := range tries {
+	out := Outage{Kind: kind, Trials: trials}
+	var gaps []time.Duration
+	for n := range trials {
 		if ctx.Err() != nil {
 			return out, ctx.Err()
 		}
-		d, last, err := r.outage(ctx, kind, n)
+		gap, lastStart, err := r.measureOutage(ctx, kind, n)
 		if err != nil {
 			return out, err
 		}
-		worst = append(worst, d)
-		out.LastWork = max(out.LastWork, Duration(last))
-		r.say("try %d: %v", n+1, d.Round(time.Millisecond))
+		gaps = append(gaps, gap)
+		out.LastStart = max(out.LastStart, Duration(lastStart))
+		r.progressf("try %d: %v", n+1, gap.Round(time.Millisecond))
 	}
-	slices.Sort(worst)
-	out.Median, out.Longest = Duration(worst[len(worst)/2]), Duration(worst[len(worst)-1])
-	if v := r.stage.Oracle.Verdict(); v.Total() > 0 {
+	slices.Sort(gaps)
+	out.Median, out.Longest = Duration(gaps[len(gaps)/2]), Duration(gaps[len(gaps)-1])
+	if v := r.cluster.Oracle.Verdict(); v.Total() > 0 {
 		return out, fmt.Errorf("bench: the oracle found: %s", strings.Join(v.Findings, "; "))
 	}
 	return out, nil
 }
 
 // outage makes one loss while callers ask without a pause, then repairs it.
-func (r *run) outage(ctx context.Context, kind string, n int) (worst, last time.Duration, err error) {
-	ask, cancel := context.WithCancel(ctx)
+func (r *run) measureOutage(ctx context.Context, kind string, n int) (longest, lastStart time.Duration, err error) {
+	probeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	gaps := make([]time.Duration, probes)
+	gaps := make([]time.Duration, probeCount)
 	var wg sync.WaitGroup
-	for i := range probes {
-		wg.Go(func() { gaps[i] = r.longestGap(ask, fmt.Sprintf("probe-%d", i)) })
+	for i := range probeCount {
+		wg.Go(func() { gaps[i] = r.longestGap(probeCtx, fmt.Sprintf("probe-%d", i)) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	repair, from, err := r.lose(ctx, kind, n)
+	repair, lossAt, err := r.causeLoss(ctx, kind, n)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -84,32 +84,32 @@
 	cancel()
 	wg.Wait()
 	if kind == "dataCentre" {
-		last = r.stage.Oracle.LastStart(r.place(n), from)
+		lastStart = r.cluster.Oracle.LastStartAfter(r.dataCentreFor(n), lossAt)
 	}
 	if err := repair(); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(3 * time.Second)
-	return slices.Max(gaps), last, nil
+	return slices.Max(gaps), lastStart, nil
 }
 
-func (r *run) place(n int) string {
-	all := r.stage.Site().DataCentres
+func (r *run) dataCentreFor(n int) string {
+	all := r.cluster.Site().DataCentres
 	return all[n%len(all)].Name
 }
 
 // lose makes a loss and returns how to repair it, and when it was done.
-func (r *run) lose(ctx context.Context, kind string, n int) (repair func() error, at time.Time, err error) {
-	place := r.place(n)
+func (r *run) causeLoss(ctx context.Context, kind string, n int) (repair func() error, at time.Time, err error) {
+	dataCentre := r.dataCentreFor(n)
 	switch kind {
 	case "server", "frozenServer":
 		keyed := ""
-		for _, s := range r.stage.Site().Services {
+		for _, s := range r.cluster.Site().Services {
 			if s.Keyed {
 				keyed = s.Name
 			}
 		}
-		s := r.stage.Servers[r.stage.ServersIn(place, keyed)[n%3]]
+		s := r.cluster.Servers[r.cluster.ServersIn(dataCentre, keyed)[n%3]]
 		if kind == "server" {
 			s.Stop()
 			return s.Start, time.Now(), nil
@@ -117,18 +117,18 @@
 		s.Freeze(true)
 		return func() error { s.Freeze(false); return nil }, time.Now(), nil
 	case "daemon", "leader":
-		hosts := r.stage.HostsIn(place)
-		at := slices.IndexFunc(hosts, func(i int) bool { return r.stage.Leads(i) == (kind == "leader") })
+		hosts := r.cluster.HostsIn(dataCentre)
+		at := slices.IndexFunc(hosts, func(i int) bool { return r.cluster.IsLeader(i) == (kind == "leader") })
 		if at < 0 {
 			at = 0
 		}
 		lost := hosts[at]
-		r.stage.KillDaemon(lost)
-		return func() error { return r.stage.StartDaemon(lost) }, time.Now(), nil
+		r.cluster.KillDaemon(lost)
+		return func() error { return r.cluster.StartDaemon(lost) }, time.Now(), nil
 	}
-	_, err = r.stage.Operator().Out(ctx, site.Exclusion{DataCentre: place})
+	_, err = r.cluster.Operator().Out(ctx, site.Exclusion{DataCentre: dataCentre})
 	return func() error {
-		_, err := r.stage.Operator().In(ctx, site.Exclusion{DataCentre: place})
+		_, err := r.cluster.Operator().In(ctx, site.Exclusion{DataCentre: dataCentre})
 		return err
 	}, time.Now(), err
 }
@@ -137,73 +137,73 @@
 // from one answer to the next, less what an answer takes at other times.
 func (r *run) longestGap(ctx context.Context, key string) time.Duration {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: false, MaxIdleConnsPerHost: 2}}
-	keyed := strings.SplitN(r.example(), "/", 2)[0]
-	answered, worst := time.Now(), time.Duration(0)
+	keyed := strings.SplitN(r.exampleRoute(), "/", 2)[0]
+	lastAnswer, longest := time.Now(), time.Duration(0)
 	for n := uint64(0); ctx.Err() == nil; n++ {
 		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyed+"/items/"+key, nil)
 		if err != nil {
-			return worst
+			return longest
 		}
 		resp, err := client.Do(req)
 		if err == nil {
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				worst = max(worst, time.Since(answered))
-				answered = time.Now()
+				longest = max(longest, time.Since(lastAnswer))
+				lastAnswer = time.Now()
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return max(worst, time.Since(answered))
+	return max(longest, time.Since(lastAnswer))
 }
 
 // Idle is what daemons without any caller cost.
 type Idle struct {
 	Daemons     int            `json:"daemons"`
-	For         Duration       `json:"for"`
+	Period      Duration       `json:"for"`
 	CallsPerMin map[string]int `json:"callsPerMinute"` // of the platform, by kind and data centre
 	// BytesPerSecond are the control messages of the busiest daemon, out and in.
-	BytesPerSecond float64 `json:"bytesPerSecond"`
-	MeanBytes      float64 `json:"meanBytesPerSecond"`
+	MaxBytesPerSecond  float64 `json:"bytesPerSecond"`
+	MeanBytesPerSecond float64 `json:"meanBytesPerSecond"`
 }
 
 // MeasureIdle counts control traffic and platform calls without any load.
-func MeasureIdle(ctx context.Context, hosts int, length time.Duration, opts ...Option) (Idle, error) {
+func MeasureIdle(ctx context.Context, hosts int, duration time.Duration, opts ...Option) (Idle, error) {
 	r := newRun(opts)
-	for name := range r.plan.Hosts {
-		r.plan.Hosts[name] = max(1, hosts/len(r.plan.Hosts))
+	for name := range r.plan.HostsPerDataCentre {
+		r.plan.HostsPerDataCentre[name] = max(1, hosts/len(r.plan.HostsPerDataCentre))
 	}
-	if hosts%len(r.plan.Hosts) != 0 {
-		r.plan.Hosts[r.plan.Site.DataCentres[0].Name] += hosts % len(r.plan.Hosts)
+	if hosts%len(r.plan.HostsPerDataCentre) != 0 {
+		r.plan.HostsPerDataCentre[r.plan.Site.DataCentres[0].Name] += hosts % len(r.plan.HostsPerDataCentre)
 	}
 	if err := r.start(ctx, Catkinstep); err != nil {
 		return Idle{}, err
 	}
 	defer r.stop()
 	time.Sleep(5 * time.Second) // the first handovers
-	before, bytes := r.stage.Store.Calls(), r.bytes()
-	time.Sleep(length)
-	out := Idle{Daemons: r.stage.Hosts(), For: Duration(length), CallsPerMin: map[string]int{}}
-	for k, n := range r.stage.Store.Calls() {
-		if n -= before[k]; n > 0 {
-			out.CallsPerMin[k] = int(float64(n) / length.Minutes())
+	callsBefore, bytesBefore := r.cluster.Store.CallCounts(), r.controlBytes()
+	time.Sleep(duration)
+	out := Idle{Daemons: r.cluster.Hosts(), Period: Duration(duration), CallsPerMin: map[string]int{}}
+	for k, n := range r.cluster.Store.CallCounts() {
+		if n -= callsBefore[k]; n > 0 {
+			out.CallsPerMin[k] = int(float64(n) / duration.Minutes())
 		}
 	}
-	for i, n := range r.bytes() {
-		v := float64(n-bytes[i]) / length.Seconds()
-		out.BytesPerSecond = max(out.BytesPerSecond, v)
-		out.MeanBytes += v / float64(r.stage.Hosts())
+	for i, n := range r.controlBytes() {
+		v := float64(n-bytesBefore[i]) / duration.Seconds()
+		out.MaxBytesPerSecond = max(out.MaxBytesPerSecond, v)
+		out.MeanBytesPerSecond += v / float64(r.cluster.Hosts())
 	}
 	return out, nil
 }
 
 // bytes returns the control bytes of each daemon so far, what it was asked by
 // others included.
-func (r *run) bytes() []int64 {
-	out := make([]int64, r.stage.Hosts())
+func (r *run) controlBytes() []int64 {
+	out := make([]int64, r.cluster.Hosts())
 	for i := range out {
-		out[i] = r.stage.ControlBytes(i)
+		out[i] = r.cluster.ControlBytes(i)
 	}
 	return out
 }
--- a/io/standin/direct/direct.go
+++ b/io/standin/direct/direct.go
@@ -31,37 +31,37 @@
 	"catkinstep/core/version/site"
 )
 
-const tries = 2
+const maxAttempts = 2
 
 // Direct is the baseline's entry hosts.
-type Direct struct {
+type Baseline struct {
 	site site.Site
 
-	mu    sync.Mutex
-	outs  map[string]bool
-	hosts []*host
+	mu       sync.Mutex
+	excluded map[string]bool
+	hosts    []*host
 }
 
 type host struct {
-	direct *Direct
-	http   *http.Server
-	client *http.Client
+	baseline *Baseline
+	http     *http.Server
+	client   *http.Client
 
-	mu    sync.Mutex
-	next  map[string]int
-	slots map[string]chan struct{}
+	mu         sync.Mutex
+	roundRobin map[string]int
+	slots      map[string]chan struct{}
 }
 
 // New returns a baseline without hosts.
-func New(s site.Site) *Direct { return &Direct{site: s, outs: map[string]bool{}} }
+func New(s site.Site) *Baseline { return &Baseline{site: s, excluded: map[string]bool{}} }
 
 // Start runs one more entry host.
-func (d *Direct) Start(address string) error {
+func (d *Baseline) Start(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("direct: %w", err)
 	}
-	h := &host{direct: d, next: map[string]int{}, slots: map[string]chan struct{}{},
+	h := &host{baseline: d, roundRobin: map[string]int{}, slots: map[string]chan struct{}{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}}
 	h.http = &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
@@ -71,14 +71,14 @@
 }
 
 // SetOut takes a data centre out, or in again, at once at every host.
-func (d *Direct) SetOut(dataCentre string, out bool) {
+func (d *Baseline) SetExcluded(dataCentre string, exclude bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.outs[dataCentre] = out
+	d.excluded[dataCentre] = exclude
 }
 
 // Stop ends all hosts.
-func (d *Direct) Stop() {
+func (d *Baseline) Stop() {
 	for _, h := range d.hosts {
 		_ = h.http.Close()
 	}
@@ -87,7 +87,7 @@
 // ServeHTTP sends a request to the next server and retries a lookup once.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	service, ok := h.direct.site.Service(name)
+	service, ok := h.baseline.site.Service(name)
 	if !ok {
 		http.NotFound(w, r)
 		return
@@ -100,19 +100,19 @@
 	defer cancel()
 	body, _ := io.ReadAll(r.Body)
 	outcome := "notRun"
-	for range tries {
-		server := h.choose(service, path)
-		if server == "" || !h.enter(ctx, service, server) {
+	for range maxAttempts {
+		server := h.pickServer(service, path)
+		if server == "" || !h.acquireSlot(ctx, service, server) {
 			break
 		}
-		data, got := h.send(ctx, server, "/"+path, r, body)
-		h.leave(server)
-		if got == "answered" {
-			w.Header().Set("Catkinstep-Outcome", got)
+		data, result := h.send(ctx, server, "/"+path, r, body)
+		h.releaseSlot(server)
+		if result == "answered" {
+			w.Header().Set("Catkinstep-Outcome", result)
 			_, _ = w.Write(data)
 			return
 		}
-		outcome = got
+		outcome = result
 		if !service.IsIdempotent(r.Method) && outcome != "notRun" {
 			break
 		}
@@ -122,17 +122,17 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"code": "direct"})
 }
 
-func (h *host) choose(s site.Service, path string) string {
-	h.direct.mu.Lock()
+func (h *host) pickServer(s site.Service, path string) string {
+	h.baseline.mu.Lock()
 	var servers []string
-	for _, d := range h.direct.site.DataCentres {
+	for _, d := range h.baseline.site.DataCentres {
 		for _, v := range d.Servers {
-			if v.Service == s.Name && !h.direct.outs[d.Name] {
+			if v.Service == s.Name && !h.baseline.excluded[d.Name] {
 				servers = append(servers, v.Address)
 			}
 		}
 	}
-	h.direct.mu.Unlock()
+	h.baseline.mu.Unlock()
 	if len(servers) == 0 {
 		return ""
 	}
@@ -142,12 +142,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.next[s.Name]++
-	return servers[h.next[s.Name]%len(servers)]
+	h.roundRobin[s.Name]++
+	return servers[h.roundRobin[s.Name]%len(servers)]
 }
 
 // enter waits for one of this host's slots at a server.
-func (h *host) enter(ctx context.Context, s site.Service, server string) bool {
+func (h *host) acquireSlot(ctx context.Context, s site.Service, server string) bool {
 	h.mu.Lock()
 	c := h.slots[server]
 	if c == nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (h *host) leave(server string) {
+func (h *host) releaseSlot(server string) {
 	h.mu.Lock()
 	c := h.slots[server]
 	h.mu.Unlock()
--- a/io/standin/oracle/oracle.go
+++ b/io/standin/oracle/oracle.go
@@ -9,7 +9,7 @@
 )
 
 // outGrace is how long after the operator's command new work may still begin.
-const outGrace = 2 * time.Second
+const exclusionGrace = 2 * time.Second
 
 // maxFindings bounds the findings that are kept as text.
 const maxFindings = 20
@@ -30,14 +30,14 @@
 }
 
 // Reply is the final answer that a caller got.
-type Reply struct {
+type CallerResult struct {
 	ID string
 	// Outcome is answered, notRun or unknown.
 	Outcome string
 	// Wrong is set when the answer was another request's, or not whole.
-	Wrong bool
+	WrongResponse bool
 	// Cut is set when the connection broke without any answer.
-	Cut bool
+	ConnectionLost bool
 }
 
 // Verdict counts what must never happen.
@@ -60,55 +60,55 @@
 
 // Oracle collects what happened.
 type Oracle struct {
-	mu      sync.Mutex
-	runs    []Run
-	replies []Reply
-	outs    []out
+	mu         sync.Mutex
+	runs       []Run
+	results    []CallerResult
+	exclusions []exclusion
 }
 
-type out struct {
+type exclusion struct {
 	dataCentre, server string
-	from, to           time.Time
+	startedAt, endedAt time.Time
 }
 
 // New returns an Oracle that has seen nothing.
 func New() *Oracle { return &Oracle{} }
 
 // Ran notes an execution when it has ended.
-func (o *Oracle) Ran(r Run) {
+func (o *Oracle) RecordRun(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runs = append(o.runs, r)
 }
 
 // Got notes what a caller got in the end.
-func (o *Oracle) Got(t Reply) {
+func (o *Oracle) RecordResult(r CallerResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.replies = append(o.replies, t)
+	o.results = append(o.results, r)
 }
 
 // Out notes that the operator's command to take out a data centre or a server
 // has returned.
-func (o *Oracle) Out(dataCentre, server string, at time.Time) {
+func (o *Oracle) RecordExclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.outs = append(o.outs, out{dataCentre: dataCentre, server: server, from: at})
+	o.exclusions = append(o.exclusions, exclusion{dataCentre: dataCentre, server: server, startedAt: at})
 }
 
 // In notes that the operator is about to take it in again.
-func (o *Oracle) In(dataCentre, server string, at time.Time) {
+func (o *Oracle) RecordInclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i := range o.outs {
-		if o.outs[i].dataCentre == dataCentre && o.outs[i].server == server && o.outs[i].to.IsZero() {
-			o.outs[i].to = at
+	for i := range o.exclusions {
+		if o.exclusions[i].dataCentre == dataCentre && o.exclusions[i].server == server && o.exclusions[i].endedAt.IsZero() {
+			o.exclusions[i].endedAt = at
 		}
 	}
 }
 
 // Runs returns the number of executions seen.
-func (o *Oracle) Runs() int {
+func (o *Oracle) RunCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.runs)
@@ -119,36 +119,36 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var v Verdict
-	o.owners(&v)
-	ran := o.doubles(&v)
+	o.checkOwnership(&v)
+	runsByID := o.checkDuplicates(&v)
 	for _, r := range o.runs {
 		if r.Overload {
 			v.Overload++
-			v.find("%s was given %s beyond what it bears", r.Server, r.ID)
+			v.addFinding("%s was given %s beyond what it bears", r.Server, r.ID)
 		}
-		if o.wasOut(r) {
+		if o.startedWhileExcluded(r) {
 			v.NewWorkAfterOut++
-			v.find("%s in %s began %s after it was out", r.Server, r.DataCentre, r.ID)
+			v.addFinding("%s in %s began %s after it was out", r.Server, r.DataCentre, r.ID)
 		}
 	}
-	for _, t := range o.replies {
+	for _, result := range o.results {
 		switch {
-		case t.Cut:
+		case result.ConnectionLost:
 			v.CutRequest++
-			v.find("the caller of %s got no answer at all", t.ID)
-		case t.Wrong:
+			v.addFinding("the caller of %s got no answer at all", result.ID)
+		case result.WrongResponse:
 			v.WrongAnswer++
-			v.find("the caller of %s got another answer, or half of one", t.ID)
-		case t.Outcome == "notRun" && ran[t.ID] > 0:
+			v.addFinding("the caller of %s got another answer, or half of one", result.ID)
+		case result.Outcome == "notRun" && runsByID[result.ID] > 0:
 			v.FalseNotRun++
-			v.find("%s ran, and its caller was answered that it did not", t.ID)
+			v.addFinding("%s ran, and its caller was answered that it did not", result.ID)
 		}
 	}
 	return v
 }
 
 // owners finds keys that two servers worked on at the same time.
-func (o *Oracle) owners(v *Verdict) {
+func (o *Oracle) checkOwnership(v *Verdict) {
 	byKey := map[string][]Run{}
 	for _, r := range o.runs {
 		if r.Key != "" {
@@ -158,49 +158,49 @@
 	for key, runs := range byKey {
 		slices.SortFunc(runs, func(a, b Run) int { return a.Start.Compare(b.Start) })
 		// last holds, by server, the latest end so far.
-		last := map[string]time.Time{}
+		lastEnd := map[string]time.Time{}
 		for _, r := range runs {
-			for server, end := range last {
+			for server, end := range lastEnd {
 				if server != r.Server && end.After(r.Start) {
 					v.TwoOwners++
-					v.find("%s: %s began %s while %s was still at work", key, r.Server, r.ID, server)
+					v.addFinding("%s: %s began %s while %s was still at work", key, r.Server, r.ID, server)
 					break
 				}
 			}
-			if r.End.After(last[r.Server]) {
-				last[r.Server] = r.End
+			if r.End.After(lastEnd[r.Server]) {
+				lastEnd[r.Server] = r.End
 			}
 		}
 	}
 }
 
-func (o *Oracle) doubles(v *Verdict) map[string]int {
-	ran := map[string]int{}
+func (o *Oracle) checkDuplicates(v *Verdict) map[string]int {
+	runsByID := map[string]int{}
 	sorted := slices.Clone(o.runs)
 	slices.SortFunc(sorted, func(a, b Run) int { return cmp.Compare(a.ID, b.ID) })
 	for _, r := range sorted {
-		ran[r.ID]++
-		if !r.Idempotent && ran[r.ID] == 2 {
+		runsByID[r.ID]++
+		if !r.Idempotent && runsByID[r.ID] == 2 {
 			v.DoubleRun++
-			v.find("%s ran twice, the second time at %s", r.ID, r.Server)
+			v.addFinding("%s ran twice, the second time at %s", r.ID, r.Server)
 		}
 	}
-	return ran
+	return runsByID
 }
 
-func (o *Oracle) wasOut(r Run) bool {
-	for _, x := range o.outs {
-		if x.dataCentre != "" && x.dataCentre != r.DataCentre || x.server != "" && x.server != r.Server {
+func (o *Oracle) startedWhileExcluded(r Run) bool {
+	for _, e := range o.exclusions {
+		if e.dataCentre != "" && e.dataCentre != r.DataCentre || e.server != "" && e.server != r.Server {
 			continue
 		}
-		if r.Start.After(x.from.Add(outGrace)) && (x.to.IsZero() || r.Start.Before(x.to)) {
+		if r.Start.After(e.startedAt.Add(exclusionGrace)) && (e.endedAt.IsZero() || r.Start.Before(e.endedAt)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *Verdict) find(format string, args ...any) {
+func (v *Verdict) addFinding(format string, args ...any) {
 	if len(v.Findings) < maxFindings {
 		v.Findings = append(v.Findings, fmt.Sprintf(format, args...))
 	}
@@ -211,14 +211,14 @@
 func (o *Oracle) Imbalance(service string, from, to time.Time, servers int) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	count, total, most := map[string]int{}, 0, 0
+	runsByServer, total, most := map[string]int{}, 0, 0
 	for _, r := range o.runs {
 		if r.Service != service || r.Overload || r.Start.Before(from) || r.Start.After(to) {
 			continue
 		}
-		count[r.Server]++
+		runsByServer[r.Server]++
 		total++
-		most = max(most, count[r.Server])
+		most = max(most, runsByServer[r.Server])
 	}
 	if total == 0 || servers == 0 {
 		return 0
@@ -228,28 +228,28 @@
 
 // ExtraWork returns the share of a service's runs since a time that were not
 // the first of their request.
-func (o *Oracle) ExtraWork(service string, from time.Time) float64 {
+func (o *Oracle) DuplicateRunShare(service string, from time.Time) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen, total, extra := map[string]bool{}, 0, 0
+	seen, total, duplicates := map[string]bool{}, 0, 0
 	for _, r := range o.runs {
 		if r.Service != service || r.Overload || r.Start.Before(from) {
 			continue
 		}
 		total++
 		if seen[r.ID] {
-			extra++
+			duplicates++
 		}
 		seen[r.ID] = true
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(extra) / float64(total)
+	return float64(duplicates) / float64(total)
 }
 
 // LastStart returns how long after a time the last run began in a data centre.
-func (o *Oracle) LastStart(dataCentre string, from time.Time) time.Duration {
+func (o *Oracle) LastStartAfter(dataCentre string, from time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last := time.Duration(0)
--- a/io/standin/ports/ports.go
+++ b/io/standin/ports/ports.go
@@ -11,15 +11,15 @@
 // outgoing connections and to listeners that name no port: one of these could take the
 // port between the check and its use.
 const (
-	lowest  = 10_000
-	highest = 32_000
+	lowestPort  = 10_000
+	highestPort = 32_000
 )
 
 // Free returns a loopback address on which nothing listens.
 func Free(t testing.TB) string {
 	t.Helper()
 	for range 100 {
-		address := fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(highest-lowest))
+		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(highestPort-lowestPort))
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
--- a/io/standin/server/doc.go
+++ b/io/standin/server/doc.go
@@ -1,7 +1,8 @@
-// Package server stands in for a backend server of the product's own kind: it
-// enforces grants of keys, has slots, a cold start, deadlines and cancellation,
-// and marks refusals as not run. It can be made to slow down, freeze, crash,
-// turn cold, and to cross or cut its answers.
+// Package server is a stand-in for a backend server that speaks the product's own
+// protocol. It enforces grants of keys, deadlines and its limit of concurrent
+// requests, is cold after a start, ends a cancelled request early if it is idempotent,
+// and marks its refusals as not run. Faults can be injected: slowness, a frozen
+// process, a crash, a lost cache, responses with a wrong ID and truncated responses.
 //
 // # Usage
 //
@@ -10,7 +11,7 @@
 //	s.Freeze(true)
 //	s.Stop()
 //
-// Over HTTP: POST /catkinstep/grant and /catkinstep/release hand keys over, POST
-// /standin/faults sets faults, GET /standin/runs tells what ran, any other path
-// is a request.
+// Over HTTP, POST /catkinstep/grant and /catkinstep/release grant and release keys,
+// POST /standin/faults replaces the faults, GET /standin/runs returns the executions,
+// and any other path is a request.
 package server
--- a/io/standin/server/grant.go
+++ b/io/standin/server/grant.go
@@ -12,67 +12,67 @@
 )
 
 // parseKeys reads the body of a grant or a release.
-func parseKeys(v *life, body []byte) (k native.Keys, ok bool) {
-	err := json.Unmarshal(body, &k)
-	return k, err == nil && len(v.held) > 0 && k.From >= 0 && k.From <= k.To && k.To <= grant.LastKey
+func parseKeys(p *process, body []byte) (keys native.Keys, ok bool) {
+	err := json.Unmarshal(body, &keys)
+	return keys, err == nil && len(p.grants) > 0 && keys.From >= 0 && keys.From <= keys.To && keys.To <= grant.LastKey
 }
 
-// serveGrant holds a range for a time from the call's arrival, unless a higher
-// fence was seen on one of its keys.
-func (s *Server) serveGrant(v *life, w http.ResponseWriter, body []byte, arrived time.Time) {
-	k, ok := parseKeys(v, body)
-	if !ok || k.HoldMillis <= 0 {
+// serveGrant accepts a grant of a key range. The grant expires relative to the arrival of the
+// call. It is rejected if one of the keys was granted with a higher fencing token before.
+func (s *Server) serveGrant(p *process, w http.ResponseWriter, body []byte, arrived time.Time) {
+	keys, ok := parseKeys(p, body)
+	if !ok || keys.HoldMillis <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range v.held[k.From : k.To+1] {
-		if h.fence > k.Fence {
+	for _, h := range p.grants[keys.From : keys.To+1] {
+		if h.fence > keys.Fence {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
 	}
-	if err := v.bookings.take(time.Now(), k.From, k.To, k.Origin, k.Handover); err != nil {
+	if err := p.dedupTable.applyGrant(time.Now(), keys.From, keys.To, keys.Origin, keys.Handover); err != nil {
 		http.Error(w, fmt.Sprintf("handover: %v", err), http.StatusBadRequest)
 		return
 	}
-	until := arrived.Add(time.Duration(k.HoldMillis) * time.Millisecond)
-	for key := k.From; key <= k.To; key++ {
-		v.held[key] = holding{fence: k.Fence, until: until}
+	expiresAt := arrived.Add(time.Duration(keys.HoldMillis) * time.Millisecond)
+	for key := keys.From; key <= keys.To; key++ {
+		p.grants[key] = keyGrant{fence: keys.Fence, expiresAt: expiresAt}
 	}
 }
 
-// releasePoll paces the wait for the work that runs on released keys.
-const releasePoll = time.Millisecond
+// releasePollInterval is how often a release checks whether requests still run on its keys.
+const releasePollInterval = time.Millisecond
 
-// serveRelease stops new work at once and answers when the running work on the
-// keys has ended.
-func (s *Server) serveRelease(v *life, w http.ResponseWriter, body []byte) {
-	k, ok := parseKeys(v, body)
+// serveRelease refuses new requests for the keys at once and answers when the running ones
+// have ended.
+func (s *Server) serveRelease(p *process, w http.ResponseWriter, body []byte) {
+	keys, ok := parseKeys(p, body)
 	if !ok {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	for key := k.From; key <= k.To; key++ {
-		v.held[key] = holding{fence: max(k.Fence, v.held[key].fence)}
+	for key := keys.From; key <= keys.To; key++ {
+		p.grants[key] = keyGrant{fence: max(keys.Fence, p.grants[key].fence)}
 	}
 	s.mu.Unlock()
-	for s.works(v, k) {
-		time.Sleep(releasePoll)
+	for s.hasRunningRequests(p, keys) {
+		time.Sleep(releasePollInterval)
 	}
 	s.mu.Lock()
-	known := v.bookings.handText(time.Now(), k.From, k.To)
+	exported := p.dedupTable.exportJSON(time.Now(), keys.From, keys.To)
 	s.mu.Unlock()
-	w.Header().Set(names.Default().Handover, known)
+	w.Header().Set(names.Default().Handover, exported)
 }
 
-func (s *Server) works(v *life, k native.Keys) bool {
+func (s *Server) hasRunningRequests(p *process, keys native.Keys) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, key := range v.running {
-		if k.From <= key && key <= k.To {
+	for _, key := range p.runningKeys {
+		if keys.From <= key && key <= keys.To {
 			return true
 		}
 	}
--- a/io/standin/server/serve.go
+++ b/io/standin/server/serve.go
@@ -16,27 +16,28 @@
 	"catkinstep/io/standin/oracle"
 )
 
-// Answer is what a request gets.
-type Answer struct {
+// Response is the body of the response to a request that ran.
+type Response struct {
 	ID      string `json:"id"`
 	Server  string `json:"server"`
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Count is how many requests for the path this process has run.
-	Count int `json:"count"`
+	// RunCount is how many requests for the path this process has run, this one included.
+	RunCount int `json:"count"`
 }
 
-// request is what the headers of a request say.
+// request holds what the method and the headers of a request say.
 type request struct {
 	id         string
 	key        int
-	until      time.Time
+	deadline   time.Time
 	idempotent bool
-	// age is how long ago it was first sent under its id, as its sender knows; else 0.
-	age time.Duration
+	// sinceFirstSent is how long ago the request was first sent under its ID; zero if the
+	// sender does not say.
+	sinceFirstSent time.Duration
 }
 
-func (s *Server) serve(v *life, w http.ResponseWriter, r *http.Request) {
+func (s *Server) serve(p *process, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	switch {
 	case r.URL.Path == "/standin/faults" && r.Method == http.MethodPost:
@@ -51,108 +52,111 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // half a request must never run
+		return // an incomplete request must never run
 	}
-	s.await(r.Context())
+	s.waitWhileFrozen(r.Context())
 	if id := r.Header.Get(names.Default().Instance); id != "" && id != native.ServerID(s.config.Address) {
-		refuse(w, r, http.StatusMisdirectedRequest)
+		writeRefusal(w, r, http.StatusMisdirectedRequest)
 		return
 	}
 	switch r.URL.Path {
 	case native.GrantPath:
-		s.serveGrant(v, w, body, arrived)
+		s.serveGrant(p, w, body, arrived)
 	case native.ReleasePath:
-		s.serveRelease(v, w, body)
+		s.serveRelease(p, w, body)
 	default:
-		s.serveRequest(v, w, r)
+		s.serveRequest(p, w, r)
 	}
 }
 
-func (s *Server) serveRequest(v *life, w http.ResponseWriter, r *http.Request) {
-	q := parse(r, time.Now())
+func (s *Server) serveRequest(p *process, w http.ResponseWriter, r *http.Request) {
+	q := parseRequest(r, time.Now())
 	if s.config.Keyed && !q.idempotent && q.id != "" {
-		s.serveBooking(v, w, r, q)
+		s.serveNonIdempotent(p, w, r, q)
 		return
 	}
-	s.run(v, w, r, q)
+	s.runRequest(p, w, r, q)
 }
 
-// refuseNew refuses a request that was not known before: it did not run.
-func (s *Server) refuseNew(v *life, w http.ResponseWriter, r *http.Request, q request, status int) {
+// refuseNewRequest refuses a request that has not run, and deletes its entry so that the
+// request can be sent again.
+func (s *Server) refuseNewRequest(p *process, w http.ResponseWriter, r *http.Request, q request, status int) {
 	s.mu.Lock()
 	if !q.idempotent {
-		v.bookings.refuse(q.booking())
+		p.dedupTable.remove(q.dedupID())
 	}
 	s.mu.Unlock()
-	refuse(w, r, status)
+	writeRefusal(w, r, status)
 }
 
-// run takes a request that was not known before through its slot.
-func (s *Server) run(v *life, w http.ResponseWriter, r *http.Request, q request) {
-	if !s.admit(v, q) {
+// runRequest waits for a slot, runs a request and writes its response.
+func (s *Server) runRequest(p *process, w http.ResponseWriter, r *http.Request, q request) {
+	if !s.admit(p, q) {
 		status := http.StatusServiceUnavailable
 		if s.config.Keyed {
 			status = http.StatusMisdirectedRequest
 		}
-		s.refuseNew(v, w, r, q, status)
+		s.refuseNewRequest(p, w, r, q, status)
 		return
 	}
-	if !s.slot(r.Context(), v, q) {
-		s.refuseNew(v, w, r, q, http.StatusServiceUnavailable)
+	if !s.acquireSlot(r.Context(), p, q) {
+		s.refuseNewRequest(p, w, r, q, http.StatusServiceUnavailable)
 		return
 	}
-	defer func() { <-v.slots }()
-	run, began, state := s.begin(v, q, r)
-	switch state {
-	case notHeld:
-		s.refuseNew(v, w, r, q, http.StatusMisdirectedRequest)
+	defer func() { <-p.slots }()
+	runID, startedAt, result := s.startRun(p, q, r)
+	switch result {
+	case keyNotHeld:
+		s.refuseNewRequest(p, w, r, q, http.StatusMisdirectedRequest)
 		return
-	case crashing:
+	case processCrashed:
 		s.Stop()
 		panic(http.ErrAbortHandler)
 	default:
 	}
-	s.work(r, q)
-	s.await(r.Context())
-	answer, f, ok := s.end(v, run, q, r, began)
+	s.simulateWork(r, q)
+	s.waitWhileFrozen(r.Context())
+	resp, faults, ok := s.finishRun(p, runID, q, r, startedAt)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
-	s.write(w, q, answer, f)
+	s.writeResponse(w, q, resp, faults)
 }
 
-// admit counts an arrival, and notes when a cold server gets more than it bears.
-func (s *Server) admit(v *life, q request) bool {
+// admit reports whether the server may run the request. It records an overload if the server
+// is cold and receives more requests than it can handle, but admits them all the same.
+func (s *Server) admit(p *process, q request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.config.Keyed && !v.held[q.key].until.After(now) {
+	if s.config.Keyed && !p.grants[q.key].expiresAt.After(now) {
 		return false
 	}
-	if !now.Before(v.coldTill) {
+	if !now.Before(p.coldUntil) {
 		return true
 	}
-	v.arrivals = slices.DeleteFunc(v.arrivals, func(t time.Time) bool { return now.Sub(t) > time.Second })
-	v.arrivals = append(v.arrivals, now)
-	surprise := !v.coldAt.IsZero() && now.Sub(v.coldAt) < coldNotice+time.Second
-	if float64(len(v.arrivals)) > s.config.ColdRate*coldFactor+coldSlack && !surprise {
+	p.coldArrivals = slices.DeleteFunc(p.coldArrivals, func(t time.Time) bool { return now.Sub(t) > time.Second })
+	p.coldArrivals = append(p.coldArrivals, now)
+	unannounced := !p.unannouncedColdAt.IsZero() && now.Sub(p.unannouncedColdAt) < unannouncedColdGrace+time.Second
+	if float64(len(p.coldArrivals)) > s.config.ColdRate*coldRateFactor+coldBurst && !unannounced {
 		s.record(oracle.Run{Server: s.config.Address, DataCentre: s.config.DataCentre, Service: s.config.Service,
 			ID: q.id + " (too many while cold)", Idempotent: true, Start: now, End: now, Overload: true})
 	}
 	return true
 }
 
-// slot waits for a slot; a few may wait, for as long as their callers do.
-func (s *Server) slot(ctx context.Context, v *life, q request) bool {
+// acquireSlot waits for a slot until the caller's deadline. It fails at once if maxQueued
+// requests wait already.
+func (s *Server) acquireSlot(ctx context.Context, p *process, q request) bool {
 	select {
-	case v.slots <- struct{}{}:
+	case p.slots <- struct{}{}:
 		return true
 	default:
 	}
 	s.mu.Lock()
-	full := v.waiting >= waiting
+	full := p.queued >= maxQueued
 	if !full {
-		v.waiting++
+		p.queued++
 	}
 	s.mu.Unlock()
 	if full {
@@ -161,12 +165,12 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		v.waiting--
+		p.queued--
 	}()
-	t := time.NewTimer(time.Until(q.until))
+	t := time.NewTimer(time.Until(q.deadline))
 	defer t.Stop()
 	select {
-	case v.slots <- struct{}{}:
+	case p.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 	case <-t.C:
@@ -174,42 +178,42 @@
 	return false
 }
 
-// state is whether a request that has a slot may run.
-type state int
+// startResult says whether a request that has a slot was started.
+type startResult int
 
 const (
-	begun state = iota
-	notHeld
-	crashing
+	runStarted startResult = iota
+	keyNotHeld
+	processCrashed
 )
 
-func (s *Server) begin(v *life, q request, r *http.Request) (run uint64, began time.Time, st state) {
+func (s *Server) startRun(p *process, q request, r *http.Request) (runID uint64, startedAt time.Time, result startResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.config.Keyed && !v.held[q.key].until.After(now) || v.ended {
-		return 0, now, notHeld // released while it waited
+	if s.config.Keyed && !p.grants[q.key].expiresAt.After(now) || p.stopped {
+		return 0, now, keyNotHeld // the key was released while the request waited for its slot
 	}
-	if f := s.faults.CrashOn; f != "" && strings.Contains(r.URL.Path, f) {
-		s.record(s.runOf(q, now, now))
-		return 0, now, crashing
+	if crashPath := s.faults.CrashOnPath; crashPath != "" && strings.Contains(r.URL.Path, crashPath) {
+		s.record(s.newRun(q, now, now))
+		return 0, now, processCrashed
 	}
-	s.nextRun++
-	v.running[s.nextRun] = q.key
-	return s.nextRun, now, begun
+	s.lastRunID++
+	p.runningKeys[s.lastRunID] = q.key
+	return s.lastRunID, now, runStarted
 }
 
-// work takes the time of the request. A lookup ends early when it is called off or its
-// deadline comes; a booking that has begun is carried out.
-func (s *Server) work(r *http.Request, q request) {
+// simulateWork blocks for a random service time. An idempotent request ends early when it is
+// cancelled or its deadline passes; a non-idempotent one always runs to its end.
+func (s *Server) simulateWork(r *http.Request, q request) {
 	s.mu.Lock()
-	d := time.Duration((0.5 + s.random.ExpFloat64()/2) * float64(s.config.Work))
-	if s.faults.Slow > 1 {
-		d = time.Duration(float64(d) * s.faults.Slow)
+	d := time.Duration((0.5 + s.rng.ExpFloat64()/2) * float64(s.config.MeanServiceTime))
+	if s.faults.SlowdownFactor > 1 {
+		d = time.Duration(float64(d) * s.faults.SlowdownFactor)
 	}
 	s.mu.Unlock()
 	if q.idempotent {
-		d = min(d, time.Until(q.until))
+		d = min(d, time.Until(q.deadline))
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -223,77 +227,79 @@
 	}
 }
 
-// end commits a run, unless its process has ended, its keys were lost meanwhile, or it is
-// a lookup whose deadline has passed.
-func (s *Server) end(v *life, run uint64, q request, r *http.Request, began time.Time) (Answer, Faults, bool) {
+// finishRun records a run and returns its response with the faults to apply to it: 1 in a
+// share means that this response has the fault. There is no response if the process has
+// stopped, the grant of the key has expired meanwhile, or the deadline of an idempotent
+// request has passed.
+func (s *Server) finishRun(p *process, runID uint64, q request, r *http.Request, startedAt time.Time) (Response, Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	end, lost := now, false
-	if h := s.holdingOf(v, q.key); s.config.Keyed && h.fence != 0 && !h.until.IsZero() && now.After(h.until) {
-		end, lost = h.until, true // work has no effect once the lease is over
-	}
-	late := q.idempotent && now.After(q.until)
-	if late && end.After(q.until) {
-		end = q.until
-	}
-	s.record(s.runOf(q, began, end))
-	delete(v.running, run)
-	if late || v.ended || lost {
-		v.noteEnd(q, nil)
-		return Answer{}, Faults{}, false
-	}
-	v.counts[r.URL.Path]++
-	a := Answer{ID: q.id, Server: s.config.Address, Service: s.config.Service, Path: r.URL.Path, Count: v.counts[r.URL.Path]}
-	v.noteEnd(q, &a)
-	f := s.faults
-	f.CrossAnswers = s.flip(f.CrossAnswers)
-	f.CutAnswers = s.flip(f.CutAnswers)
-	return a, f, true
+	endedAt, expired := now, false
+	if h := s.grantOf(p, q.key); s.config.Keyed && h.fence != 0 && !h.expiresAt.IsZero() && now.After(h.expiresAt) {
+		endedAt, expired = h.expiresAt, true // a run has no effect after the grant expires
+	}
+	deadlinePassed := q.idempotent && now.After(q.deadline)
+	if deadlinePassed && endedAt.After(q.deadline) {
+		endedAt = q.deadline
+	}
+	s.record(s.newRun(q, startedAt, endedAt))
+	delete(p.runningKeys, runID)
+	if deadlinePassed || p.stopped || expired {
+		p.completeEntry(q, nil)
+		return Response{}, Faults{}, false
+	}
+	p.runsByPath[r.URL.Path]++
+	resp := Response{ID: q.id, Server: s.config.Address, Service: s.config.Service, Path: r.URL.Path, RunCount: p.runsByPath[r.URL.Path]}
+	p.completeEntry(q, &resp)
+	respFaults := s.faults
+	respFaults.WrongIDShare = s.sampleFault(respFaults.WrongIDShare)
+	respFaults.TruncatedShare = s.sampleFault(respFaults.TruncatedShare)
+	return resp, respFaults, true
 }
 
-func (s *Server) holdingOf(v *life, key int) holding {
+func (s *Server) grantOf(p *process, key int) keyGrant {
 	if !s.config.Keyed {
-		return holding{}
+		return keyGrant{}
 	}
-	return v.held[key]
+	return p.grants[key]
 }
 
-func (s *Server) write(w http.ResponseWriter, q request, a Answer, f Faults) {
+func (s *Server) writeResponse(w http.ResponseWriter, q request, resp Response, faults Faults) {
 	n := names.Default()
 	w.Header().Set(n.ID, q.id)
 	w.Header().Set(n.Signature, s.config.Address)
-	w.Header().Set(n.Load, s.load())
-	if f.CrossAnswers > 0 {
-		a.ID += "-crossed"
-		w.Header().Set(n.ID, a.ID)
+	w.Header().Set(n.Load, s.loadHeader())
+	if faults.WrongIDShare > 0 {
+		resp.ID += "-crossed"
+		w.Header().Set(n.ID, resp.ID)
 	}
-	data, _ := json.Marshal(a)
+	data, _ := json.Marshal(resp)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if f.CutAnswers > 0 {
+	if faults.TruncatedShare > 0 {
 		_, _ = w.Write(data[:len(data)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write(data)
 }
 
-// load tells how many requests run and wait, and how many slots there are.
-func (s *Server) load() string {
+// loadHeader returns the number of running and of queued requests and the number of slots.
+func (s *Server) loadHeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("%d,%d,%d", len(s.life.running), s.life.waiting, s.config.Slots)
+	return fmt.Sprintf("%d,%d,%d", len(s.process.runningKeys), s.process.queued, s.config.Slots)
 }
 
-// flip turns a share into 1 or 0.
-func (s *Server) flip(share float64) float64 {
-	if share > 0 && s.random.Float64() < share {
+// sampleFault returns 1 with the probability share, and 0 otherwise.
+func (s *Server) sampleFault(share float64) float64 {
+	if share > 0 && s.rng.Float64() < share {
 		return 1
 	}
 	return 0
 }
 
-func (s *Server) runOf(q request, start, end time.Time) oracle.Run {
+func (s *Server) newRun(q request, start, end time.Time) oracle.Run {
 	r := oracle.Run{Server: s.config.Address, DataCentre: s.config.DataCentre, Service: s.config.Service,
 		ID: q.id, Idempotent: q.idempotent, Start: start, End: end}
 	if s.config.Keyed {
@@ -305,35 +311,35 @@
 func (s *Server) record(r oracle.Run) {
 	s.runs = append(s.runs, r)
 	if s.recorder != nil {
-		s.recorder.Ran(r)
+		s.recorder.RecordRun(r)
 	}
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var in struct {
+	var req struct {
 		Faults
 		TurnCold bool `json:"turnCold"`
 	}
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
-	if err := d.Decode(&in); err != nil {
+	if err := d.Decode(&req); err != nil {
 		http.Error(w, fmt.Sprintf("faults: %v", err), http.StatusBadRequest)
 		return
 	}
-	s.SetFaults(in.Faults)
-	if in.TurnCold {
+	s.SetFaults(req.Faults)
+	if req.TurnCold {
 		s.TurnCold()
 	}
 }
 
-// usualPatience is taken for callers that name no deadline.
-const usualPatience = 5 * time.Second
+// defaultTimeout applies to requests without a deadline.
+const defaultTimeout = 5 * time.Second
 
-func parse(r *http.Request, now time.Time) request {
+func parseRequest(r *http.Request, now time.Time) request {
 	n := names.Default()
-	q := request{id: r.Header.Get(n.ID), until: now.Add(usualPatience), idempotent: r.Method == http.MethodGet || r.Method == http.MethodHead, age: ageOf(r)}
+	q := request{id: r.Header.Get(n.ID), deadline: now.Add(defaultTimeout), idempotent: r.Method == http.MethodGet || r.Method == http.MethodHead, sinceFirstSent: timeSinceFirstSent(r)}
 	if ms, err := strconv.ParseInt(r.Header.Get(n.Deadline), 10, 64); err == nil {
-		q.until = now.Add(time.Duration(ms) * time.Millisecond)
+		q.deadline = now.Add(time.Duration(ms) * time.Millisecond)
 	}
 	if key, err := strconv.Atoi(r.Header.Get(n.Key)); err == nil {
 		q.key = key
@@ -341,8 +347,8 @@
 	return q
 }
 
-// refuse says that the request did not run.
-func refuse(w http.ResponseWriter, r *http.Request, status int) {
+// writeRefusal answers that the request did not run.
+func writeRefusal(w http.ResponseWriter, r *http.Request, status int) {
 	n := names.Default()
 	w.Header().Set(n.ID, r.Header.Get(n.ID))
 	w.Header().Set(n.NotRun, "1")
@@ -352,5 +358,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the caller has left if it fails
+	_ = json.NewEncoder(w).Encode(v) // it only fails if the caller has closed the connection
 }
--- a/io/standin/server/server.go
+++ b/io/standin/server/server.go
@@ -15,208 +15,213 @@
 )
 
 const (
-	// coldNotice is how long after turning cold without warning an overload is
-	// not the sender's fault: nobody can have known.
-	coldNotice = 300 * time.Millisecond
-	// coldFactor and coldSlack bound what a cold server bears in any second
-	// beside its rate.
-	coldFactor = 1.5
-	coldSlack  = 5
-	// waiting is how many requests wait for a slot before others are shed.
-	waiting = 2
+	// unannouncedColdGrace is how long overload is not reported after the server turned cold
+	// without a restart, because routers can't know of it yet.
+	unannouncedColdGrace = 300 * time.Millisecond
+	// A cold server is overloaded when more than coldRateFactor times its cold rate plus
+	// coldBurst requests arrive within a second.
+	coldRateFactor = 1.5
+	coldBurst      = 5
+	// maxQueued is how many requests can wait for a slot; more are refused.
+	maxQueued = 2
 )
 
-// Recorder learns of each execution; oracle.Oracle is one.
-type Recorder interface{ Ran(oracle.Run) }
+// Recorder receives each execution of a request. It is implemented by oracle.Oracle.
+type Recorder interface{ RecordRun(oracle.Run) }
 
-// Config describes one server.
+// Config is the configuration of one server.
 type Config struct {
 	Address    string
 	Service    string
 	DataCentre string
-	Slots      int
-	// Keyed servers run a request only while they hold its key.
+	// Slots is how many requests run concurrently.
+	Slots int
+	// Keyed makes the server run a request only while it holds the request's key.
 	Keyed bool
-	// Work is the mean time of a request.
-	Work time.Duration
-	// Cold is how long it is cold after a start, ColdRate what it bears then, in
-	// requests a second; without a rate it is never cold.
-	Cold     time.Duration
+	// MeanServiceTime is the mean time that a request runs; default 5ms.
+	MeanServiceTime time.Duration
+	// ColdPeriod is how long the server is cold after a start.
+	ColdPeriod time.Duration
+	// ColdRate is how many requests per second a cold server can handle; zero means that the
+	// server is never cold.
 	ColdRate float64
 	Seed     uint64
 }
 
-// Faults are what the server does wrong.
+// Faults are the faults to inject into a server.
 type Faults struct {
-	// Slow multiplies the time of a request; below 1 means not slow.
-	Slow float64 `json:"slow"`
-	// Frozen stops all work, as a paused process does.
+	// SlowdownFactor multiplies the time that a request runs; 1 or less has no effect.
+	SlowdownFactor float64 `json:"slow"`
+	// Frozen suspends the server, as SIGSTOP does with a process.
 	Frozen bool `json:"frozen"`
-	// CrossAnswers is the share of answers that carry another request's id.
-	CrossAnswers float64 `json:"crossAnswers"`
-	// CutAnswers is the share of answers that end in the middle.
-	CutAnswers float64 `json:"cutAnswers"`
-	// CrashOn ends the process when it runs a request whose path holds this.
-	CrashOn string `json:"crashOn"`
+	// WrongIDShare is the share of responses that carry the ID of another request.
+	WrongIDShare float64 `json:"crossAnswers"`
+	// TruncatedShare is the share of responses that break off in the middle.
+	TruncatedShare float64 `json:"cutAnswers"`
+	// CrashOnPath crashes the server when it runs a request whose path contains this text;
+	// empty means never.
+	CrashOnPath string `json:"crashOn"`
 }
 
-// holding is what a server knows of one key.
-type holding struct {
-	fence uint64
-	until time.Time
+// keyGrant is the grant of one key. Its fence stays after the release, so that a delayed grant
+// with a lower fencing token is rejected.
+type keyGrant struct {
+	fence     uint64
+	expiresAt time.Time
 }
 
-// life is what a process has and loses with its end.
-type life struct {
-	listener net.Listener
-	http     *http.Server
-	ended    bool
-	held     []holding // by key; empty where the service has no keys
-	running  map[uint64]int
-	slots    chan struct{}
-	waiting  int
-	counts   map[string]int
-	bookings *bookings
-	began    time.Time
-	coldTill time.Time
-	coldAt   time.Time // when it turned cold without warning
-	arrivals []time.Time
+// process is the state of one server process. A restart begins with a new one.
+type process struct {
+	listener          net.Listener
+	http              *http.Server
+	stopped           bool
+	grants            []keyGrant     // by key; empty if the service has no keys
+	runningKeys       map[uint64]int // key of each running request, by run ID
+	slots             chan struct{}  // one element for each slot in use
+	queued            int            // requests that wait for a slot
+	runsByPath        map[string]int
+	dedupTable        *dedupTable
+	startedAt         time.Time
+	coldUntil         time.Time
+	unannouncedColdAt time.Time   // when the server turned cold without a restart
+	coldArrivals      []time.Time // requests of the last second, while cold
 }
 
-// Server is the stand-in.
+// Server is a stand-in for a backend server. It can be restarted at the same address.
 type Server struct {
 	config   Config
 	recorder Recorder
 
-	mu      sync.Mutex
-	life    *life
-	faults  Faults
-	thaw    chan struct{} // closed while not frozen
-	nextRun uint64
-	random  *rand.Rand
-	runs    []oracle.Run
+	mu        sync.Mutex
+	process   *process
+	faults    Faults
+	resumed   chan struct{} // closed unless the server is frozen
+	lastRunID uint64
+	rng       *rand.Rand
+	runs      []oracle.Run
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that does not listen yet. The recorder may be nil.
 func New(c Config, r Recorder) *Server {
-	if c.Work == 0 {
-		c.Work = 5 * time.Millisecond
+	if c.MeanServiceTime == 0 {
+		c.MeanServiceTime = 5 * time.Millisecond
 	}
-	s := &Server{config: c, recorder: r, random: rand.New(rand.NewPCG(c.Seed, 5)), thaw: make(chan struct{})}
-	close(s.thaw)
+	s := &Server{config: c, recorder: r, rng: rand.New(rand.NewPCG(c.Seed, 5)), resumed: make(chan struct{})}
+	close(s.resumed)
 	return s
 }
 
-// Start listens as a new process would: cold, and holding no key.
+// Start starts the server as a new process, which is cold and holds no key.
 func (s *Server) Start() error {
 	l, err := net.Listen("tcp", s.config.Address)
 	if err != nil {
 		return fmt.Errorf("server stand-in: %w", err)
 	}
 	now := time.Now()
-	v := &life{listener: l, running: map[uint64]int{}, slots: make(chan struct{}, s.config.Slots), counts: map[string]int{}, bookings: newBookings(), began: now}
+	p := &process{listener: l, runningKeys: map[uint64]int{}, slots: make(chan struct{}, s.config.Slots), runsByPath: map[string]int{}, dedupTable: newDedupTable(), startedAt: now}
 	if s.config.ColdRate > 0 {
-		v.coldTill = now.Add(s.config.Cold)
+		p.coldUntil = now.Add(s.config.ColdPeriod)
 	}
 	if s.config.Keyed {
-		v.held = make([]holding, grant.LastKey+1)
+		p.grants = make([]keyGrant, grant.LastKey+1)
 	}
-	v.http = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(v, w, r) })}
+	p.http = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(p, w, r) })}
 	s.mu.Lock()
-	s.life = v
+	s.process = p
 	s.mu.Unlock()
 	go func() {
-		if err := v.http.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		if err := p.http.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			panic(err)
 		}
 	}()
 	return nil
 }
 
-// Stop ends it at once, as a crash does: open connections break.
+// Stop ends the server at once, as a crash does: open connections break.
 func (s *Server) Stop() {
 	s.mu.Lock()
-	v := s.life
-	if v != nil {
-		v.ended = true // what still runs in memory has no effect any more
+	p := s.process
+	if p != nil {
+		p.stopped = true // goroutines that still run must have no effect
 	}
 	s.mu.Unlock()
-	if v != nil {
-		_ = v.http.Close()
+	if p != nil {
+		_ = p.http.Close()
 	}
 }
 
-// Address returns the address it listens at.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.config.Address }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Frozen != s.faults.Frozen {
 		if f.Frozen {
-			s.thaw = make(chan struct{})
+			s.resumed = make(chan struct{})
 		} else {
-			close(s.thaw)
+			close(s.resumed)
 		}
 	}
 	s.faults = f
 }
 
-// Freeze stops all work, as a paused process does, or lets it go on.
+// Freeze suspends the server, as SIGSTOP does with a process, or resumes it. It clears all
+// other faults.
 func (s *Server) Freeze(on bool) { s.SetFaults(Faults{Frozen: on}) }
 
-// TurnCold loses the warmth without a warning.
+// TurnCold makes the server cold without a restart, so that routers have no sign of it.
 func (s *Server) TurnCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil || s.config.ColdRate <= 0 {
+	if s.process == nil || s.config.ColdRate <= 0 {
 		return
 	}
-	s.life.coldAt = time.Now()
-	s.life.coldTill = s.life.coldAt.Add(s.config.Cold)
+	s.process.unannouncedColdAt = time.Now()
+	s.process.coldUntil = s.process.unannouncedColdAt.Add(s.config.ColdPeriod)
 }
 
-// Warm makes it bear all that its slots allow at once.
+// Warm ends the cold period.
 func (s *Server) Warm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life != nil {
-		s.life.coldTill = time.Time{}
+	if s.process != nil {
+		s.process.coldUntil = time.Time{}
 	}
 }
 
-// Holds tells whether the server holds a key now.
+// Holds reports whether the server holds a key now.
 func (s *Server) Holds(key int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life != nil && !s.life.ended && len(s.life.held) > key && s.life.held[key].until.After(time.Now())
+	return s.process != nil && !s.process.stopped && len(s.process.grants) > key && s.process.grants[key].expiresAt.After(time.Now())
 }
 
-// Running returns how many requests run now.
+// Running returns the number of requests that run now.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil {
+	if s.process == nil {
 		return 0
 	}
-	return len(s.life.running)
+	return len(s.process.runningKeys)
 }
 
-// await blocks while the server is frozen.
-func (s *Server) await(ctx context.Context) {
+// waitWhileFrozen blocks until the server is not frozen.
+func (s *Server) waitWhileFrozen(ctx context.Context) {
 	for {
 		s.mu.Lock()
-		thaw, frozen := s.thaw, s.faults.Frozen
+		resumed, frozen := s.resumed, s.faults.Frozen
 		s.mu.Unlock()
 		if !frozen {
 			return
 		}
 		select {
-		case <-thaw:
+		case <-resumed:
 		case <-ctx.Done():
-			// A frozen process does not notice that its caller hung up.
-			<-thaw
+			// A suspended process does not notice that its caller closed the connection.
+			<-resumed
 		}
 	}
 }
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -12,18 +12,18 @@
 // Churn follows the holders of keys in the platform's objects, by buckets of
 // keys, and counts how often one server took over from another.
 type Churn struct {
-	stage *Stage
+	cluster *Cluster
 
-	mu    sync.Mutex
-	owner map[string][]string // by service
-	moves map[string]int
-	least map[string]int
+	mu       sync.Mutex
+	owners   map[string][]string // by service
+	moves    map[string]int
+	minMoves map[string]int
 }
 
 // NewChurn begins to follow until the context ends.
-func NewChurn(ctx context.Context, r *Stage) *Churn {
-	c := &Churn{stage: r, owner: map[string][]string{}, moves: map[string]int{}, least: map[string]int{}}
-	c.look()
+func NewChurn(ctx context.Context, cluster *Cluster) *Churn {
+	c := &Churn{cluster: cluster, owners: map[string][]string{}, moves: map[string]int{}, minMoves: map[string]int{}}
+	c.poll()
 	go func() {
 		t := time.NewTicker(20 * time.Millisecond)
 		defer t.Stop()
@@ -32,7 +32,7 @@
 			case <-ctx.Done():
 				return
 			case <-t.C:
-				c.look()
+				c.poll()
 			}
 		}
 	}()
@@ -41,27 +41,27 @@
 
 // Expect adds the moves that an event needs at least: each bucket of these
 // servers has to move, times the number of ways.
-func (c *Churn) Expect(service string, servers []string, ways int) {
+func (c *Churn) ExpectMoves(service string, servers []string, movesPerBucket int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.owner[service] {
+	for _, o := range c.owners[service] {
 		for _, s := range servers {
 			if o == s {
-				c.least[service] += ways
+				c.minMoves[service] += movesPerBucket
 			}
 		}
 	}
 }
 
 // Moves returns the moves of a service's buckets so far, and the least possible.
-func (c *Churn) Moves(service string) (moves, least int) {
+func (c *Churn) Moves(service string) (moves, minMoves int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.moves[service], c.least[service]
+	return c.moves[service], c.minMoves[service]
 }
 
-func (c *Churn) look() {
-	data, _ := c.stage.Store.Value(tableObject)
+func (c *Churn) poll() {
+	data, _ := c.cluster.Store.Value(tableObject)
 	t, err := grant.Unmarshal(data)
 	if err != nil {
 		return
@@ -69,21 +69,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, share := range t.Shares {
-		have := c.owner[share.Service]
-		if have == nil {
-			have = make([]string, keeper.Buckets)
-			c.owner[share.Service] = have
+		bucketOwners := c.owners[share.Service]
+		if bucketOwners == nil {
+			bucketOwners = make([]string, keeper.Buckets)
+			c.owners[share.Service] = bucketOwners
 		}
-		for bucket := range have {
+		for bucket := range bucketOwners {
 			r, ok := t.Owner(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
-			now := r.Holder.Address
-			if !ok || !r.Open() || now == have[bucket] {
+			owner := r.Holder.Address
+			if !ok || !r.Open() || owner == bucketOwners[bucket] {
 				continue
 			}
-			if have[bucket] != "" {
+			if bucketOwners[bucket] != "" {
 				c.moves[share.Service]++
 			}
-			have[bucket] = now
+			bucketOwners[bucket] = owner
 		}
 	}
 }
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -9,110 +9,110 @@
 )
 
 // Hosts returns the number of entry hosts.
-func (r *Stage) Hosts() int { return len(r.hosts) }
+func (c *Cluster) Hosts() int { return len(c.hosts) }
 
 // HostAddress returns the address for callers of an entry host.
-func (r *Stage) HostAddress(i int) string { return r.hosts[i].prefs.Callers }
+func (c *Cluster) HostAddress(i int) string { return c.hosts[i].prefs.Callers }
 
 // Daemon returns an entry host's daemon; nil while it is down.
-func (r *Stage) Daemon(i int) *native.Daemon {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.hosts[i].daemon
+func (c *Cluster) Daemon(i int) *native.Daemon {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hosts[i].daemon
 }
 
 // HostsIn returns the numbers of a data centre's entry hosts.
-func (r *Stage) HostsIn(dataCentre string) []int {
-	var out []int
-	for i, h := range r.hosts {
+func (c *Cluster) HostsIn(dataCentre string) []int {
+	var indexes []int
+	for i, h := range c.hosts {
 		if h.prefs.DataCentre == dataCentre {
-			out = append(out, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return out
+	return indexes
 }
 
 // StartDaemon starts an entry host's daemon from nothing.
-func (r *Stage) StartDaemon(i int) error {
-	h := r.hosts[i]
-	d, err := native.Start(h.prefs, native.WithLogger(r.log.With("host", h.prefs.Mesh)), native.WithOperator(admin.Handler))
+func (c *Cluster) StartDaemon(i int) error {
+	h := c.hosts[i]
+	d, err := native.Start(h.prefs, native.WithLogger(c.log.With("host", h.prefs.Mesh)), native.WithOperator(admin.Handler))
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	h.daemon = d
-	delete(r.killed, h.prefs.Callers)
+	delete(c.killed, h.prefs.Callers)
 	return nil
 }
 
 // KillDaemon ends a daemon at once, as SIGKILL does.
-func (r *Stage) KillDaemon(i int) {
-	r.mu.Lock()
-	h := r.hosts[i]
+func (c *Cluster) KillDaemon(i int) {
+	c.mu.Lock()
+	h := c.hosts[i]
 	d := h.daemon
 	h.daemon = nil
-	r.killed[h.prefs.Callers] = true
-	r.mu.Unlock()
+	c.killed[h.prefs.Callers] = true
+	c.mu.Unlock()
 	if d != nil {
 		d.Kill()
 	}
 }
 
 // StopDaemon ends a daemon as planned.
-func (r *Stage) StopDaemon(i int) error {
-	r.mu.Lock()
-	h := r.hosts[i]
+func (c *Cluster) StopDaemon(i int) error {
+	c.mu.Lock()
+	h := c.hosts[i]
 	d := h.daemon
-	r.mu.Unlock()
+	c.mu.Unlock()
 	if d == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := d.Stop(ctx)
-	r.mu.Lock()
+	c.mu.Lock()
 	h.daemon = nil
-	r.mu.Unlock()
+	c.mu.Unlock()
 	return err
 }
 
-func (r *Stage) live() []*host {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []*host
-	for _, h := range r.hosts {
+func (c *Cluster) runningHosts() []*host {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var running []*host
+	for _, h := range c.hosts {
 		if h.daemon != nil {
-			out = append(out, h)
+			running = append(running, h)
 		}
 	}
-	return out
+	return running
 }
 
 // BareHosts returns how many entry hosts the plan has, running or not.
-func (r *Stage) BareHosts() int {
+func (c *Cluster) BaselineHosts() int {
 	n := 0
-	for _, h := range r.plan.Hosts {
+	for _, h := range c.plan.HostsPerDataCentre {
 		n += h
 	}
 	return n
 }
 
 // BareAddress returns an address for an entry host of the baseline.
-func (r *Stage) BareAddress(i int) string {
-	return fmt.Sprintf("127.%d.200.%d:%d", r.octet, i+1, callersPort)
+func (c *Cluster) BaselineAddress(i int) string {
+	return fmt.Sprintf("127.%d.200.%d:%d", c.secondOctet, i+1, callersPort)
 }
 
 // Leads tells whether an entry host's daemon grants keys.
-func (r *Stage) Leads(i int) bool {
-	d := r.Daemon(i)
+func (c *Cluster) IsLeader(i int) bool {
+	d := c.Daemon(i)
 	return d != nil && d.Leading()
 }
 
 // ControlBytes returns the bytes of control messages of a daemon so far, out and
 // in.
-func (r *Stage) ControlBytes(i int) int64 {
-	d := r.Daemon(i)
+func (c *Cluster) ControlBytes(i int) int64 {
+	d := c.Daemon(i)
 	if d == nil {
 		return 0
 	}
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -8,7 +8,7 @@
 
 // Lakeshore is the sharpening service's site at its size of today.
 func Lakeshore() Plan {
-	return plan("lakeshore",
+	return newPlan("lakeshore",
 		[]string{"duluth", "marquette", "toledo", "oswego"},
 		[]site.Service{
 			{Name: "intake", Slots: 3, MaxConnections: 110},
@@ -19,7 +19,7 @@
 
 // GraniteHearth is the firewood platform's site at its size of today.
 func GraniteHearth() Plan {
-	return plan("graniteHearth",
+	return newPlan("graniteHearth",
 		[]string{"barre", "keene", "camden", "rutland"},
 		[]site.Service{
 			{Name: "cord-orders", Slots: 4, MaxConnections: 50},
@@ -30,29 +30,29 @@
 
 // plan spreads the servers over the data centres; nine entry hosts stand two a
 // data centre and one more in the first.
-func plan(name string, places []string, services []site.Service, servers map[string]int) Plan {
+func newPlan(name string, dataCentres []string, services []site.Service, servers map[string]int) Plan {
 	s := site.Site{Name: name, Presets: []site.Preset{
 		{Name: "ordinary", Active: true, RetryShare: 0.1},
 		{Name: "peak", RetryShare: 0.05},
 		{Name: "maintenance", RetryShare: 0.1},
 	}}
 	hosts := map[string]int{}
-	for i, p := range places {
+	for i, p := range dataCentres {
 		s.DataCentres = append(s.DataCentres, site.DataCentre{Name: p})
 		hosts[p] = 2
 		if i == 0 {
 			hosts[p] = 3
 		}
 	}
-	next := 0
+	nextServer := 0
 	for _, v := range services {
 		v.DefaultTimeout = 2 * time.Second
 		v.ColdRate = 40
 		s.Services = append(s.Services, v)
 		for range servers[v.Name] {
-			d := &s.DataCentres[next%len(places)]
+			d := &s.DataCentres[nextServer%len(dataCentres)]
 			d.Servers = append(d.Servers, site.Server{Service: v.Name})
-			next++
+			nextServer++
 		}
 	}
 	data, err := s.Marshal()
@@ -62,5 +62,5 @@
 	if err != nil {
 		panic(err) // a plan of this package that cannot be stored
 	}
-	return Plan{Site: s, Hosts: hosts, Work: 5 * time.Millisecond}
+	return Plan{Site: s, HostsPerDataCentre: hosts, MeanServiceTime: 5 * time.Millisecond}
 }
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -35,35 +35,35 @@
 type Plan struct {
 	Site site.Site
 	// Hosts is the number of entry hosts in each data centre.
-	Hosts map[string]int
+	HostsPerDataCentre map[string]int
 	// Work is the mean time of a request at a server.
-	Work time.Duration
+	MeanServiceTime time.Duration
 }
 
 // Option changes a Stage that Start makes.
-type Option func(*Stage)
+type Option func(*Cluster)
 
 // WithSeed seeds all stand-ins and daemons.
-func WithSeed(seed uint64) Option { return func(r *Stage) { r.seed = seed } }
+func WithSeed(seed uint64) Option { return func(c *Cluster) { c.seed = seed } }
 
 // WithLogger sets where the daemons log.
-func WithLogger(l *slog.Logger) Option { return func(r *Stage) { r.log = l } }
+func WithLogger(l *slog.Logger) Option { return func(c *Cluster) { c.log = l } }
 
 // WithoutDaemons runs the stand-ins alone, for the baseline.
-func WithoutDaemons() Option { return func(r *Stage) { r.bare = true } }
+func WithoutDaemons() Option { return func(c *Cluster) { c.withoutDaemons = true } }
 
 // Stage is a running site.
-type Stage struct {
+type Cluster struct {
 	Oracle  *oracle.Oracle
 	Store   *store.Store
 	Servers map[string]*server.Server
 
-	plan     Plan
-	seed     uint64
-	log      *slog.Logger
-	bare     bool
-	octet    int
-	platform *http.Server
+	plan           Plan
+	seed           uint64
+	log            *slog.Logger
+	withoutDaemons bool
+	secondOctet    int
+	platformServer *http.Server
 
 	mu     sync.Mutex
 	hosts  []*host
@@ -81,103 +81,103 @@
 	meshPort     = 7100
 	operatorPort = 7200
 	serverPort   = 9000
-	stopPatience = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
 // Start runs the plan. Addresses are 127.N.x.y, with the first N that is free.
-func Start(p Plan, opts ...Option) (*Stage, error) {
-	r := &Stage{Oracle: oracle.New(), Servers: map[string]*server.Server{}, plan: p, seed: 1,
+func Start(p Plan, opts ...Option) (*Cluster, error) {
+	c := &Cluster{Oracle: oracle.New(), Servers: map[string]*server.Server{}, plan: p, seed: 1,
 		log: slog.New(slog.DiscardHandler), killed: map[string]bool{}}
 	for _, o := range opts {
-		o(r)
+		o(c)
 	}
-	r.Store = store.New(store.WithSeed(r.seed))
-	l, err := r.claim()
+	c.Store = store.New(store.WithSeed(c.seed))
+	l, err := c.reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
-	r.platform = &http.Server{Handler: r.Store, ReadHeaderTimeout: time.Minute}
-	go func() { _ = r.platform.Serve(l) }()
-	r.address()
-	if err := r.startServers(); err != nil {
-		r.Stop()
+	c.platformServer = &http.Server{Handler: c.Store, ReadHeaderTimeout: time.Minute}
+	go func() { _ = c.platformServer.Serve(l) }()
+	c.assignAddresses()
+	if err := c.startServers(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	if r.bare {
-		return r, nil
+	if c.withoutDaemons {
+		return c, nil
 	}
-	if err := r.startHosts(); err != nil {
-		r.Stop()
+	if err := c.startHosts(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	return r, nil
+	return c, nil
 }
 
 // claim finds a free range of addresses by listening on its platform port.
-func (r *Stage) claim() (net.Listener, error) {
-	var last error
+func (c *Cluster) reserveAddresses() (net.Listener, error) {
+	var lastErr error
 	for n := 20; n < 120; n++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, platformPort))
 		if err == nil {
-			r.octet = n
+			c.secondOctet = n
 			return l, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("stage: no free addresses: %w", last)
+	return nil, fmt.Errorf("stage: no free addresses: %w", lastErr)
 }
 
 // address gives each server of the plan its address.
-func (r *Stage) address() {
-	places := make([]site.DataCentre, len(r.plan.Site.DataCentres))
-	for i, d := range r.plan.Site.DataCentres {
-		places[i] = site.DataCentre{Name: d.Name}
+func (c *Cluster) assignAddresses() {
+	dataCentres := make([]site.DataCentre, len(c.plan.Site.DataCentres))
+	for i, d := range c.plan.Site.DataCentres {
+		dataCentres[i] = site.DataCentre{Name: d.Name}
 		for j, v := range d.Servers {
-			v.Address = fmt.Sprintf("127.%d.%d.%d:%d", r.octet, 100+i, j+1, serverPort)
-			places[i].Servers = append(places[i].Servers, v)
+			v.Address = fmt.Sprintf("127.%d.%d.%d:%d", c.secondOctet, 100+i, j+1, serverPort)
+			dataCentres[i].Servers = append(dataCentres[i].Servers, v)
 		}
 	}
-	r.plan.Site.DataCentres = places
+	c.plan.Site.DataCentres = dataCentres
 }
 
-func (r *Stage) startServers() error {
-	n := r.seed * 1000
-	for _, d := range r.plan.Site.DataCentres {
+func (c *Cluster) startServers() error {
+	n := c.seed * 1000
+	for _, d := range c.plan.Site.DataCentres {
 		for _, v := range d.Servers {
 			n++
-			s, _ := r.plan.Site.Service(v.Service)
+			s, _ := c.plan.Site.Service(v.Service)
 			sv := server.New(server.Config{
 				Address: v.Address, Service: v.Service, DataCentre: d.Name, Slots: s.Slots,
-				Keyed: s.Keyed && !r.bare, Work: r.plan.Work, Cold: s.ColdPeriod, ColdRate: s.ColdRate, Seed: n,
-			}, r.Oracle)
+				Keyed: s.Keyed && !c.withoutDaemons, MeanServiceTime: c.plan.MeanServiceTime, ColdPeriod: s.ColdPeriod, ColdRate: s.ColdRate, Seed: n,
+			}, c.Oracle)
 			if err := sv.Start(); err != nil {
 				return err
 			}
-			r.Servers[v.Address] = sv
+			c.Servers[v.Address] = sv
 		}
 	}
 	return nil
 }
 
-func (r *Stage) startHosts() error {
+func (c *Cluster) startHosts() error {
 	var peers []string
-	for i, d := range r.plan.Site.DataCentres {
-		for j := range r.plan.Hosts[d.Name] {
-			ip := fmt.Sprintf("127.%d.%d.%d", r.octet, i+1, j+1)
-			r.hosts = append(r.hosts, &host{prefs: prefs.Prefs{
+	for i, d := range c.plan.Site.DataCentres {
+		for j := range c.plan.HostsPerDataCentre[d.Name] {
+			ip := fmt.Sprintf("127.%d.%d.%d", c.secondOctet, i+1, j+1)
+			c.hosts = append(c.hosts, &host{prefs: prefs.Prefs{
 				DataCentre: d.Name,
 				Callers:    fmt.Sprintf("%s:%d", ip, callersPort),
 				Mesh:       fmt.Sprintf("%s:%d", ip, meshPort),
 				Operator:   fmt.Sprintf("%s:%d", ip, operatorPort),
-				Platform:   fmt.Sprintf("127.%d.0.1:%d", r.octet, platformPort),
+				Platform:   fmt.Sprintf("127.%d.0.1:%d", c.secondOctet, platformPort),
 				MaxBody:    1 << 20,
 			}})
 			peers = append(peers, fmt.Sprintf("%s:%d", ip, meshPort))
 		}
 	}
-	for i, h := range r.hosts {
+	for i, h := range c.hosts {
 		h.prefs.Peers = peers
-		if err := r.StartDaemon(i); err != nil {
+		if err := c.StartDaemon(i); err != nil {
 			return err
 		}
 	}
@@ -186,16 +186,16 @@
 
 // Ready applies the site and waits until every key has a holder that can be
 // sent to, as an operator's first minute would go.
-func (r *Stage) Ready(ctx context.Context) error {
-	data, err := r.plan.Site.Marshal()
+func (c *Cluster) Ready(ctx context.Context) error {
+	data, err := c.plan.Site.Marshal()
 	if err != nil {
 		return err
 	}
-	if _, err := r.Operator().Apply(ctx, "demo.yaml", data); err != nil {
+	if _, err := c.Operator().Apply(ctx, "demo.yaml", data); err != nil {
 		return fmt.Errorf("stage: apply: %w", err)
 	}
 	for ctx.Err() == nil {
-		if r.settled() {
+		if c.allSettled() {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -203,8 +203,8 @@
 	return errors.New("stage: the keys did not get holders in time")
 }
 
-func (r *Stage) settled() bool {
-	for _, h := range r.live() {
+func (c *Cluster) allSettled() bool {
+	for _, h := range c.runningHosts() {
 		if !h.daemon.Ready() || !h.daemon.Settled() {
 			return false
 		}
@@ -213,57 +213,57 @@
 }
 
 // Stop ends everything at once.
-func (r *Stage) Stop() {
+func (c *Cluster) Stop() {
 	var wg sync.WaitGroup
-	for _, h := range r.live() {
+	for _, h := range c.runningHosts() {
 		wg.Go(h.daemon.Kill)
 	}
 	wg.Wait()
-	for _, s := range r.Servers {
+	for _, s := range c.Servers {
 		s.Stop()
 	}
-	_ = r.platform.Close()
+	_ = c.platformServer.Close()
 }
 
 // Site returns the configuration with its addresses.
-func (r *Stage) Site() site.Site { return r.plan.Site }
+func (c *Cluster) Site() site.Site { return c.plan.Site }
 
 // Operator returns a client of a live daemon.
-func (r *Stage) Operator() *admin.Client {
-	return admin.NewClient(r.live()[0].prefs.Operator, "")
+func (c *Cluster) Operator() *admin.Client {
+	return admin.NewClient(c.runningHosts()[0].prefs.Operator, "")
 }
 
 // ServersIn returns the addresses of a data centre's servers of a service.
-func (r *Stage) ServersIn(dataCentre, service string) []string {
-	var out []string
-	d, _ := r.plan.Site.DataCentre(dataCentre)
+func (c *Cluster) ServersIn(dataCentre, service string) []string {
+	var addresses []string
+	d, _ := c.plan.Site.DataCentre(dataCentre)
 	for _, v := range d.Servers {
 		if v.Service == service || service == "" {
-			out = append(out, v.Address)
+			addresses = append(addresses, v.Address)
 		}
 	}
-	return out
+	return addresses
 }
 
 // Pick implements load.Balancer: the hosts whose readiness check passes.
-func (r *Stage) Pick(n uint64) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cluster) Pick(n uint64) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ready []string
-	for _, h := range r.hosts {
+	for _, h := range c.hosts {
 		if h.daemon != nil && h.daemon.Ready() {
 			ready = append(ready, h.prefs.Callers)
 		}
 	}
 	if len(ready) == 0 {
-		return r.hosts[0].prefs.Callers
+		return c.hosts[0].prefs.Callers
 	}
 	return ready[n%uint64(len(ready))]
 }
 
 // Killed implements load.Balancer.
-func (r *Stage) Killed(address string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.killed[address]
+func (c *Cluster) WasKilled(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.killed[address]
 }
--- a/io/standin/store/store.go
+++ b/io/standin/store/store.go
@@ -17,8 +17,8 @@
 const (
 	writesPerSecond = 300
 	readsPerSecond  = 2000
-	maxObject       = 1 << 20
-	maxWait         = time.Minute
+	maxObjectBytes  = 1 << 20
+	maxWatchWait    = time.Minute
 )
 
 // Faults are what the platform can be made to do wrong.
@@ -26,11 +26,11 @@
 	// Down makes every call fail.
 	Down bool `json:"down"`
 	// DownFor lists data centres whose calls fail, as when they are cut off.
-	DownFor []string `json:"downFor"`
+	DownDataCentres []string `json:"downFor"`
 	// Slow delays every call.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// LoseReplies is the share of writes that take effect without an answer.
-	LoseReplies float64 `json:"loseReplies"`
+	LostReplyShare float64 `json:"loseReplies"`
 }
 
 // Option changes a Store that New makes.
@@ -38,25 +38,25 @@
 
 // WithSeed seeds the faults.
 func WithSeed(seed uint64) Option {
-	return func(s *Store) { s.random = rand.New(rand.NewPCG(seed, 3)) }
+	return func(s *Store) { s.rng = rand.New(rand.NewPCG(seed, 3)) }
 }
 
 // WithHostLag sets how late the list of hosts follows.
-func WithHostLag(d time.Duration) Option { return func(s *Store) { s.hostLag = d } }
+func WithHostListDelay(d time.Duration) Option { return func(s *Store) { s.hostListDelay = d } }
 
 // Store is the stand-in. It is an http.Handler.
 type Store struct {
-	mu       sync.Mutex
-	revision uint64
-	objects  map[string]object
-	changed  chan struct{}
-	faults   Faults
-	calls    map[string]int
-	random   *rand.Rand
-	hostLag  time.Duration
-	hosts    map[string]host
-	writes   *rate.Limiter
-	reads    *rate.Limiter
+	mu            sync.Mutex
+	revision      uint64
+	objects       map[string]object
+	changed       chan struct{}
+	faults        Faults
+	callCounts    map[string]int
+	rng           *rand.Rand
+	hostListDelay time.Duration
+	hosts         map[string]host
+	writeLimiter  *rate.Limiter
+	readLimiter   *rate.Limiter
 }
 
 type object struct {
@@ -65,21 +65,21 @@
 }
 
 type host struct {
-	state string
-	since time.Time
-	was   string
+	state         string
+	changedAt     time.Time
+	previousState string
 }
 
 // New returns an empty Store.
 func New(opts ...Option) *Store {
 	s := &Store{
-		objects: map[string]object{},
-		changed: make(chan struct{}),
-		calls:   map[string]int{},
-		hosts:   map[string]host{},
-		hostLag: 5 * time.Second,
-		writes:  rate.NewLimiter(writesPerSecond, writesPerSecond),
-		reads:   rate.NewLimiter(readsPerSecond, readsPerSecond),
+		objects:       map[string]object{},
+		changed:       make(chan struct{}),
+		callCounts:    map[string]int{},
+		hosts:         map[string]host{},
+		hostListDelay: 5 * time.Second,
+		writeLimiter:  rate.NewLimiter(writesPerSecond, writesPerSecond),
+		readLimiter:   rate.NewLimiter(readsPerSecond, readsPerSecond),
 	}
 	WithSeed(1)(s)
 	for _, o := range opts {
@@ -101,14 +101,14 @@
 func (s *Store) SetHost(address, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts[address] = host{state: state, since: time.Now(), was: s.hosts[address].state}
+	s.hosts[address] = host{state: state, changedAt: time.Now(), previousState: s.hosts[address].state}
 }
 
 // Calls returns the number of calls so far, by "kind dataCentre".
-func (s *Store) Calls() map[string]int {
+func (s *Store) CallCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.calls)
+	return maps.Clone(s.callCounts)
 }
 
 // Value returns an object's value and version; zero when there is none.
@@ -126,10 +126,10 @@
 		s.serveFaults(w, r)
 		return
 	case r.URL.Path == "/calls":
-		reply(w, s.Calls())
+		writeJSON(w, s.CallCounts())
 		return
 	}
-	lose, ok := s.admit(w, r)
+	loseReply, ok := s.admit(w, r)
 	if !ok {
 		return
 	}
@@ -138,7 +138,7 @@
 	case isObject && r.Method == http.MethodGet:
 		s.serveRead(w, name)
 	case isObject && r.Method == http.MethodPut:
-		s.serveWrite(w, r, name, lose)
+		s.serveWrite(w, r, name, loseReply)
 	case r.URL.Path == "/watch":
 		s.serveWatch(w, r)
 	case r.URL.Path == "/hosts":
@@ -149,7 +149,7 @@
 }
 
 // admit counts the call and applies faults and limits.
-func (s *Store) admit(w http.ResponseWriter, r *http.Request) (lose, ok bool) {
+func (s *Store) admit(w http.ResponseWriter, r *http.Request) (loseReply, ok bool) {
 	dataCentre := r.Header.Get("Catkinstep-Data-Centre")
 	kind := "read"
 	switch {
@@ -159,23 +159,23 @@
 		kind = "watch"
 	}
 	s.mu.Lock()
-	s.calls[kind+" "+dataCentre]++
+	s.callCounts[kind+" "+dataCentre]++
 	f := s.faults
-	lose = kind == "write" && s.random.Float64() < f.LoseReplies
+	loseReply = kind == "write" && s.rng.Float64() < f.LostReplyShare
 	s.mu.Unlock()
-	if f.Slow > 0 {
+	if f.Delay > 0 {
 		select {
-		case <-time.After(f.Slow):
+		case <-time.After(f.Delay):
 		case <-r.Context().Done():
 			return false, false
 		}
 	}
-	limiter := s.reads
+	limiter := s.readLimiter
 	if kind == "write" {
-		limiter = s.writes
+		limiter = s.writeLimiter
 	}
 	switch {
-	case cutOff(f, dataCentre):
+	case isDown(f, dataCentre):
 		// No answer that could be mistaken for one: the connection breaks.
 		panic(http.ErrAbortHandler)
 	case !limiter.Allow():
@@ -183,14 +183,14 @@
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return false, false
 	}
-	return lose, true
+	return loseReply, true
 }
 
-func cutOff(f Faults, dataCentre string) bool {
+func isDown(f Faults, dataCentre string) bool {
 	if f.Down {
 		return true
 	}
-	for _, d := range f.DownFor {
+	for _, d := range f.DownDataCentres {
 		if d == dataCentre {
 			return true
 		}
@@ -210,37 +210,37 @@
 	_, _ = w.Write(o.value)
 }
 
-func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, name string, lose bool) {
-	want, err := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
+func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, name string, loseReply bool) {
+	wantVersion, err := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 	if err != nil {
 		http.Error(w, "If-Match must be a version", http.StatusBadRequest)
 		return
 	}
-	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 	if err != nil {
 		http.Error(w, "the value is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	s.mu.Lock()
-	have := s.objects[name].version
-	if have == want {
+	current := s.objects[name].version
+	if current == wantVersion {
 		s.revision++
-		have = s.revision
-		s.objects[name] = object{version: have, value: value}
+		current = s.revision
+		s.objects[name] = object{version: current, value: value}
 		close(s.changed)
 		s.changed = make(chan struct{})
 		s.mu.Unlock()
-		if lose {
+		if loseReply {
 			panic(http.ErrAbortHandler)
 		}
-		w.Header().Set("Catkinstep-Version", strconv.FormatUint(have, 10))
+		w.Header().Set("Catkinstep-Version", strconv.FormatUint(current, 10))
 		return
 	}
 	s.mu.Unlock()
-	http.Error(w, "the version is "+strconv.FormatUint(have, 10), http.StatusPreconditionFailed)
+	http.Error(w, "the version is "+strconv.FormatUint(current, 10), http.StatusPreconditionFailed)
 }
 
-type watchReply struct {
+type watchResponse struct {
 	Revision uint64        `json:"revision"`
 	Objects  []watchObject `json:"objects"`
 }
@@ -255,29 +255,29 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	prefix := r.URL.Query().Get("prefix")
-	end := time.NewTimer(min(wait, maxWait))
-	defer end.Stop()
+	timeout := time.NewTimer(min(wait, maxWatchWait))
+	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		out := watchReply{Revision: s.revision}
+		resp := watchResponse{Revision: s.revision}
 		for name, o := range s.objects {
 			if o.version > after && strings.HasPrefix(name, prefix) {
-				out.Objects = append(out.Objects, watchObject{name, o.version, o.value})
+				resp.Objects = append(resp.Objects, watchObject{name, o.version, o.value})
 			}
 		}
 		changed, f := s.changed, s.faults
 		s.mu.Unlock()
-		if cutOff(f, r.Header.Get("Catkinstep-Data-Centre")) {
+		if isDown(f, r.Header.Get("Catkinstep-Data-Centre")) {
 			panic(http.ErrAbortHandler)
 		}
-		if len(out.Objects) > 0 {
-			reply(w, out)
+		if len(resp.Objects) > 0 {
+			writeJSON(w, resp)
 			return
 		}
 		select {
 		case <-changed:
-		case <-end.C:
-			reply(w, out)
+		case <-timeout.C:
+			writeJSON(w, resp)
 			return
 		case <-r.Context().Done():
 			return
@@ -288,41 +288,41 @@
 func (s *Store) serveHosts(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]string{}
+	states := map[string]string{}
 	for address, h := range s.hosts {
-		out[address] = h.state
-		if time.Since(h.since) < s.hostLag {
-			out[address] = h.was
+		states[address] = h.state
+		if time.Since(h.changedAt) < s.hostListDelay {
+			states[address] = h.previousState
 		}
 	}
-	reply(w, out)
+	writeJSON(w, states)
 }
 
 func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var in struct {
-		Down        bool     `json:"down"`
-		DownFor     []string `json:"downFor"`
-		Slow        string   `json:"slow"`
-		LoseReplies float64  `json:"loseReplies"`
+	var req struct {
+		Down            bool     `json:"down"`
+		DownDataCentres []string `json:"downFor"`
+		Delay           string   `json:"slow"`
+		LostReplyShare  float64  `json:"loseReplies"`
 	}
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
-	if err := d.Decode(&in); err != nil {
+	if err := d.Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	slow := time.Duration(0)
-	if in.Slow != "" {
+	delay := time.Duration(0)
+	if req.Delay != "" {
 		var err error
-		if slow, err = time.ParseDuration(in.Slow); err != nil {
+		if delay, err = time.ParseDuration(req.Delay); err != nil {
 			http.Error(w, "slow: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 	}
-	s.SetFaults(Faults{Down: in.Down, DownFor: in.DownFor, Slow: slow, LoseReplies: in.LoseReplies})
+	s.SetFaults(Faults{Down: req.Down, DownDataCentres: req.DownDataCentres, Delay: delay, LostReplyShare: req.LostReplyShare})
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
