--- a/io/standin/oracle/doc.go
+++ b/io/standin/oracle/doc.go
@@ -1,13 +1,13 @@
-// Package oracle judges a run by what callers got and what backend
-// servers did. It knows nothing of leases or grants: servers say
-// which request ran when, callers say what they got, the operator says
-// what was taken out, and the oracle finds what cannot all be true.
+// Package oracle is the test oracle of the stand-ins: it checks what backend servers ran
+// against what callers saw. It does not depend on grants or any other mechanism of the
+// system. Servers report which request ran when, callers report their results, the
+// operator's commands report exclusions, and the oracle finds contradictions.
 //
 // # Usage
 //
 //	o := oracle.New()
-//	o.Ran(oracle.Run{Server: "127.0.0.9:9000", ID: "a", Key: "bench-7", Start: t0, End: t1})
-//	o.Got(oracle.Reply{ID: "a", Outcome: "answered"})
+//	o.RecordRun(oracle.Run{Server: "127.0.0.9:9000", ID: "a", Key: "bench-7", Start: t0, End: t1})
+//	o.RecordResult(oracle.CallerResult{ID: "a", Outcome: "answered"})
 //	v := o.Verdict()
 //
 // It is safe for concurrent use. Its functions do not fail.
--- a/io/standin/oracle/oracle.go
+++ b/io/standin/oracle/oracle.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// outGrace is how long after the operator's command new work may still begin.
+// exclusionGrace is how long after the operator's command returns an excluded server may still
+// start requests.
 const exclusionGrace = 2 * time.Second
 
-// maxFindings bounds the findings that are kept as text.
+// maxFindings limits the findings that a verdict describes.
 const maxFindings = 20
 
 // Run is one execution of a request by a backend server.
@@ -23,33 +24,41 @@
 	Key        string    `json:"key"`
 	Idempotent bool      `json:"idempotent"`
 	Start      time.Time `json:"start"`
-	// End is when it could have no effect any more.
+	// End is the time from which the run could have no effect any more.
 	End time.Time `json:"end"`
-	// Overload is set when the server already ran all that it bore.
+	// Overload is set if the server received the request beyond its capacity. Such a Run stands
+	// for the arrival, not for an execution.
 	Overload bool `json:"overload"`
 }
 
-// Reply is the final answer that a caller got.
+// CallerResult is the final result of a request, as its caller saw it.
 type CallerResult struct {
 	ID string
 	// Outcome is answered, notRun or unknown.
 	Outcome string
-	// Wrong is set when the answer was another request's, or not whole.
+	// WrongResponse is set if the response was another request's, or malformed.
 	WrongResponse bool
-	// Cut is set when the connection broke without any answer.
+	// ConnectionLost is set if the connection to a live host broke without a response.
 	ConnectionLost bool
 }
 
-// Verdict counts what must never happen.
+// Verdict counts the violations of what the system guarantees.
 type Verdict struct {
-	TwoOwners       int `json:"twoOwners"`
-	DoubleRun       int `json:"doubleRun"`
-	WrongAnswer     int `json:"wrongAnswer"`
-	FalseNotRun     int `json:"falseNotRun"`
-	Overload        int `json:"overload"`
+	// TwoOwners counts runs on a key that began while another server ran one on it.
+	TwoOwners int `json:"twoOwners"`
+	// DoubleRun counts non-idempotent requests that ran more than once.
+	DoubleRun int `json:"doubleRun"`
+	// WrongAnswer counts responses that were another request's, or malformed.
+	WrongAnswer int `json:"wrongAnswer"`
+	// FalseNotRun counts requests that ran though the caller was told that they had not.
+	FalseNotRun int `json:"falseNotRun"`
+	// Overload counts requests that a server received beyond its capacity.
+	Overload int `json:"overload"`
+	// NewWorkAfterOut counts runs that began on a server while it was excluded.
 	NewWorkAfterOut int `json:"newWorkAfterOut"`
-	CutRequest      int `json:"cutRequest"`
-	// Findings describe the first of them.
+	// CutRequest counts requests whose connection broke without a response.
+	CutRequest int `json:"cutRequest"`
+	// Findings describe the first maxFindings violations.
 	Findings []string `json:"findings,omitempty"`
 }
 
@@ -58,7 +67,7 @@
 	return v.TwoOwners + v.DoubleRun + v.WrongAnswer + v.FalseNotRun + v.Overload + v.NewWorkAfterOut + v.CutRequest
 }
 
-// Oracle collects what happened.
+// Oracle records runs, results and exclusions, and checks them against each other.
 type Oracle struct {
 	mu         sync.Mutex
 	runs       []Run
@@ -66,29 +75,30 @@
 	exclusions []exclusion
 }
 
+// exclusion is the time during which a data centre or a server was out of service.
 type exclusion struct {
 	dataCentre, server string
 	startedAt, endedAt time.Time
 }
 
-// New returns an Oracle that has seen nothing.
+// New returns an Oracle without records.
 func New() *Oracle { return &Oracle{} }
 
-// Ran notes an execution when it has ended.
+// RecordRun records an execution that has ended.
 func (o *Oracle) RecordRun(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runs = append(o.runs, r)
 }
 
-// Got notes what a caller got in the end.
+// RecordResult records the final result of a request.
 func (o *Oracle) RecordResult(r CallerResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.results = append(o.results, r)
 }
 
-// Out notes that the operator's command to take out a data centre or a server
+// RecordExclusion records that the operator's command to exclude a data centre or a server
 // has returned.
 func (o *Oracle) RecordExclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
@@ -96,7 +106,7 @@
 	o.exclusions = append(o.exclusions, exclusion{dataCentre: dataCentre, server: server, startedAt: at})
 }
 
-// In notes that the operator is about to take it in again.
+// RecordInclusion records that the operator is about to end an exclusion.
 func (o *Oracle) RecordInclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,14 +117,14 @@
 	}
 }
 
-// Runs returns the number of executions seen.
+// RunCount returns the number of recorded runs.
 func (o *Oracle) RunCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.runs)
 }
 
-// Verdict judges all that was noted so far.
+// Verdict checks all records so far.
 func (o *Oracle) Verdict() Verdict {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -124,30 +134,30 @@
 	for _, r := range o.runs {
 		if r.Overload {
 			v.Overload++
-			v.addFinding("%s was given %s beyond what it bears", r.Server, r.ID)
+			v.addFinding("%s received request %s beyond its capacity", r.Server, r.ID)
 		}
 		if o.startedWhileExcluded(r) {
 			v.NewWorkAfterOut++
-			v.addFinding("%s in %s began %s after it was out", r.Server, r.DataCentre, r.ID)
+			v.addFinding("%s in %s started request %s while excluded", r.Server, r.DataCentre, r.ID)
 		}
 	}
 	for _, result := range o.results {
 		switch {
 		case result.ConnectionLost:
 			v.CutRequest++
-			v.addFinding("the caller of %s got no answer at all", result.ID)
+			v.addFinding("the connection of request %s broke without a response", result.ID)
 		case result.WrongResponse:
 			v.WrongAnswer++
-			v.addFinding("the caller of %s got another answer, or half of one", result.ID)
+			v.addFinding("request %s got a wrong or malformed response", result.ID)
 		case result.Outcome == "notRun" && runsByID[result.ID] > 0:
 			v.FalseNotRun++
-			v.addFinding("%s ran, and its caller was answered that it did not", result.ID)
+			v.addFinding("request %s ran, but its caller was told that it did not", result.ID)
 		}
 	}
 	return v
 }
 
-// owners finds keys that two servers worked on at the same time.
+// checkOwnership finds keys on which two servers ran requests at the same time.
 func (o *Oracle) checkOwnership(v *Verdict) {
 	byKey := map[string][]Run{}
 	for _, r := range o.runs {
@@ -157,13 +167,13 @@
 	}
 	for key, runs := range byKey {
 		slices.SortFunc(runs, func(a, b Run) int { return a.Start.Compare(b.Start) })
-		// last holds, by server, the latest end so far.
+		// lastEnd is the latest end of a run so far, by server.
 		lastEnd := map[string]time.Time{}
 		for _, r := range runs {
 			for server, end := range lastEnd {
 				if server != r.Server && end.After(r.Start) {
 					v.TwoOwners++
-					v.addFinding("%s: %s began %s while %s was still at work", key, r.Server, r.ID, server)
+					v.addFinding("key %s: %s started request %s while %s was running another", key, r.Server, r.ID, server)
 					break
 				}
 			}
@@ -174,6 +184,8 @@
 	}
 }
 
+// checkDuplicates finds non-idempotent requests that ran more than once. It returns the number
+// of runs by request ID.
 func (o *Oracle) checkDuplicates(v *Verdict) map[string]int {
 	runsByID := map[string]int{}
 	sorted := slices.Clone(o.runs)
@@ -182,7 +194,7 @@
 		runsByID[r.ID]++
 		if !r.Idempotent && runsByID[r.ID] == 2 {
 			v.DoubleRun++
-			v.addFinding("%s ran twice, the second time at %s", r.ID, r.Server)
+			v.addFinding("request %s ran twice, the second time on %s", r.ID, r.Server)
 		}
 	}
 	return runsByID
@@ -206,8 +218,8 @@
 	}
 }
 
-// Imbalance returns the busiest server's runs over the mean of a service's
-// servers, for runs that began within a span.
+// Imbalance returns the number of runs of the busiest server divided by the mean of all
+// servers of a service. Only runs that began between from and to count.
 func (o *Oracle) Imbalance(service string, from, to time.Time, servers int) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -226,8 +238,8 @@
 	return float64(most) * float64(servers) / float64(total)
 }
 
-// ExtraWork returns the share of a service's runs since a time that were not
-// the first of their request.
+// DuplicateRunShare returns the share of a service's runs that were not the first of their
+// request. Only runs that began at from or later count.
 func (o *Oracle) DuplicateRunShare(service string, from time.Time) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -248,7 +260,8 @@
 	return float64(duplicates) / float64(total)
 }
 
-// LastStart returns how long after a time the last run began in a data centre.
+// LastStartAfter returns how long after from the last run began in a data centre; zero if none
+// began after it.
 func (o *Oracle) LastStartAfter(dataCentre string, from time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
