--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -184,7 +184,7 @@
 	time.Sleep(5 * time.Second) // the first handovers
 	callsBefore, bytesBefore := r.cluster.Store.CallCounts(), r.controlBytes()
 	time.Sleep(duration)
-	out := Idle{Daemons: r.cluster.Hosts(), Period: Duration(duration), CallsPerMin: map[string]int{}}
+	out := Idle{Daemons: r.cluster.HostCount(), Period: Duration(duration), CallsPerMin: map[string]int{}}
 	for k, n := range r.cluster.Store.CallCounts() {
 		if n -= callsBefore[k]; n > 0 {
 			out.CallsPerMin[k] = int(float64(n) / duration.Minutes())
@@ -193,7 +193,7 @@
 	for i, n := range r.controlBytes() {
 		v := float64(n-bytesBefore[i]) / duration.Seconds()
 		out.MaxBytesPerSecond = max(out.MaxBytesPerSecond, v)
-		out.MeanBytesPerSecond += v / float64(r.cluster.Hosts())
+		out.MeanBytesPerSecond += v / float64(r.cluster.HostCount())
 	}
 	return out, nil
 }
@@ -201,7 +201,7 @@
 // bytes returns the control bytes of each daemon so far, what it was asked by
 // others included.
 func (r *run) controlBytes() []int64 {
-	out := make([]int64, r.cluster.Hosts())
+	out := make([]int64, r.cluster.HostCount())
 	for i := range out {
 		out[i] = r.cluster.ControlBytes(i)
 	}
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -188,7 +188,7 @@
 
 // story is the demo's: some of everything an operator meets.
 func story(ctx context.Context, r *run) {
-	last := r.cluster.Hosts() - 1
+	last := r.cluster.HostCount() - 1
 	name := r.cluster.Site().DataCentres[2].Name
 	slow := r.servers(r.cluster.Site().Services[0].Name)[4]
 	for _, step := range []struct {
--- a/io/standin/ports/doc.go
+++ b/io/standin/ports/doc.go
@@ -1,6 +1,6 @@
-// Package ports finds addresses that tests may listen on.
+// Package ports finds addresses that tests can listen on.
 //
-// Usage:
+// # Usage
 //
 //	address := ports.Free(t)
 package ports
--- a/io/standin/ports/ports.go
+++ b/io/standin/ports/ports.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// lowest and highest bound the ports. They lie below those that systems give to
-// outgoing connections and to listeners that name no port: one of these could take the
-// port between the check and its use.
+// Ports are chosen from lowestPort up to, but not including, highestPort. The range lies below
+// the ephemeral ports, which the system gives to outgoing connections and to listeners on port 0:
+// one of these could take the port between the check and its use.
 const (
 	lowestPort  = 10_000
 	highestPort = 32_000
@@ -29,6 +29,6 @@
 		}
 		return address
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port found")
 	return ""
 }
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -9,18 +9,18 @@
 	"catkinstep/core/version/grant"
 )
 
-// Churn follows the holders of keys in the platform's objects, by buckets of
-// keys, and counts how often one server took over from another.
+// Churn polls the table of keys that the leader stores on the platform, and counts how often a
+// bucket of keys moved from one server to another. It judges a bucket by its first key.
 type Churn struct {
 	cluster *Cluster
 
 	mu       sync.Mutex
-	owners   map[string][]string // by service
+	owners   map[string][]string // address of each bucket's holder, by service
 	moves    map[string]int
 	minMoves map[string]int
 }
 
-// NewChurn begins to follow until the context ends.
+// NewChurn starts a Churn, which polls until the context ends.
 func NewChurn(ctx context.Context, cluster *Cluster) *Churn {
 	c := &Churn{cluster: cluster, owners: map[string][]string{}, moves: map[string]int{}, minMoves: map[string]int{}}
 	c.poll()
@@ -39,8 +39,8 @@
 	return c
 }
 
-// Expect adds the moves that an event needs at least: each bucket of these
-// servers has to move, times the number of ways.
+// ExpectMoves adds to the minimum the moves that an event makes necessary: movesPerBucket for
+// each bucket that these servers hold now. That is 2 where the buckets leave and come back.
 func (c *Churn) ExpectMoves(service string, servers []string, movesPerBucket int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,8 @@
 	}
 }
 
-// Moves returns the moves of a service's buckets so far, and the least possible.
+// Moves returns the number of moves of a service's buckets so far, and the minimum that the
+// expected events make necessary.
 func (c *Churn) Moves(service string) (moves, minMoves int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,22 +63,22 @@
 
 func (c *Churn) poll() {
 	data, _ := c.cluster.Store.Value(tableObject)
-	t, err := grant.Unmarshal(data)
+	table, err := grant.Unmarshal(data)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, share := range t.Shares {
+	for _, share := range table.Shares {
 		bucketOwners := c.owners[share.Service]
 		if bucketOwners == nil {
 			bucketOwners = make([]string, keeper.Buckets)
 			c.owners[share.Service] = bucketOwners
 		}
 		for bucket := range bucketOwners {
-			r, ok := t.Owner(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
-			owner := r.Holder.Address
-			if !ok || !r.Open() || owner == bucketOwners[bucket] {
+			keyRange, ok := table.Owner(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
+			owner := keyRange.Holder.Address
+			if !ok || !keyRange.Open() || owner == bucketOwners[bucket] {
 				continue
 			}
 			if bucketOwners[bucket] != "" {
@@ -88,5 +89,5 @@
 	}
 }
 
-// tableObject is the platform's object that holds the table of keys.
+// tableObject is the name of the platform's object that holds the table of keys.
 const tableObject = "tables/keys"
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -9,19 +9,19 @@
 )
 
 // Hosts returns the number of entry hosts.
-func (c *Cluster) Hosts() int { return len(c.hosts) }
+func (c *Cluster) HostCount() int { return len(c.hosts) }
 
-// HostAddress returns the address for callers of an entry host.
+// HostAddress returns the address on which an entry host serves callers.
 func (c *Cluster) HostAddress(i int) string { return c.hosts[i].prefs.Callers }
 
-// Daemon returns an entry host's daemon; nil while it is down.
+// Daemon returns an entry host's daemon; nil while it does not run.
 func (c *Cluster) Daemon(i int) *native.Daemon {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hosts[i].daemon
 }
 
-// HostsIn returns the numbers of a data centre's entry hosts.
+// HostsIn returns the indexes of a data centre's entry hosts.
 func (c *Cluster) HostsIn(dataCentre string) []int {
 	var indexes []int
 	for i, h := range c.hosts {
@@ -32,7 +32,7 @@
 	return indexes
 }
 
-// StartDaemon starts an entry host's daemon from nothing.
+// StartDaemon starts an entry host's daemon, without any state of an earlier one.
 func (c *Cluster) StartDaemon(i int) error {
 	h := c.hosts[i]
 	d, err := native.Start(h.prefs, native.WithLogger(c.log.With("host", h.prefs.Mesh)), native.WithOperator(admin.Handler))
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// KillDaemon ends a daemon at once, as SIGKILL does.
+// KillDaemon ends an entry host's daemon at once, as SIGKILL does.
 func (c *Cluster) KillDaemon(i int) {
 	c.mu.Lock()
 	h := c.hosts[i]
@@ -59,7 +59,7 @@
 	}
 }
 
-// StopDaemon ends a daemon as planned.
+// StopDaemon shuts an entry host's daemon down gracefully.
 func (c *Cluster) StopDaemon(i int) error {
 	c.mu.Lock()
 	h := c.hosts[i]
@@ -89,7 +89,8 @@
 	return running
 }
 
-// BareHosts returns how many entry hosts the plan has, running or not.
+// BaselineHosts returns the number of entry hosts in the plan. Unlike HostCount, it also counts
+// them if the cluster runs without daemons.
 func (c *Cluster) BaselineHosts() int {
 	n := 0
 	for _, h := range c.plan.HostsPerDataCentre {
@@ -98,19 +99,19 @@
 	return n
 }
 
-// BareAddress returns an address for an entry host of the baseline.
+// BaselineAddress returns the address for an entry host of the baseline.
 func (c *Cluster) BaselineAddress(i int) string {
 	return fmt.Sprintf("127.%d.200.%d:%d", c.secondOctet, i+1, callersPort)
 }
 
-// Leads tells whether an entry host's daemon grants keys.
+// IsLeader reports whether an entry host's daemon is the leader, which grants keys.
 func (c *Cluster) IsLeader(i int) bool {
 	d := c.Daemon(i)
 	return d != nil && d.Leading()
 }
 
-// ControlBytes returns the bytes of control messages of a daemon so far, out and
-// in.
+// ControlBytes returns how many bytes of control messages an entry host's daemon has sent and
+// received; zero if it does not run.
 func (c *Cluster) ControlBytes(i int) int64 {
 	d := c.Daemon(i)
 	if d == nil {
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -6,7 +6,7 @@
 	"catkinstep/core/version/site"
 )
 
-// Lakeshore is the sharpening service's site at its size of today.
+// Lakeshore returns the site of the sharpening service, at its production size.
 func Lakeshore() Plan {
 	return newPlan("lakeshore",
 		[]string{"duluth", "marquette", "toledo", "oswego"},
@@ -17,7 +17,7 @@
 		map[string]int{"intake": 12, "workshop": 15})
 }
 
-// GraniteHearth is the firewood platform's site at its size of today.
+// GraniteHearth returns the site of the firewood platform, at its production size.
 func GraniteHearth() Plan {
 	return newPlan("graniteHearth",
 		[]string{"barre", "keene", "camden", "rutland"},
@@ -28,8 +28,8 @@
 		map[string]int{"cord-orders": 11, "haul-board": 13})
 }
 
-// plan spreads the servers over the data centres; nine entry hosts stand two a
-// data centre and one more in the first.
+// newPlan returns a plan that spreads the servers evenly over the data centres. Each data
+// centre has two entry hosts, and the first has one more.
 func newPlan(name string, dataCentres []string, services []site.Service, servers map[string]int) Plan {
 	s := site.Site{Name: name, Presets: []site.Preset{
 		{Name: "ordinary", Active: true, RetryShare: 0.1},
@@ -57,10 +57,10 @@
 	}
 	data, err := s.Marshal()
 	if err == nil {
-		s, err = site.Unmarshal(data) // with the defaults filled in
+		s, err = site.Unmarshal(data) // fills in the defaults
 	}
 	if err != nil {
-		panic(err) // a plan of this package that cannot be stored
+		panic(err) // one of this package's plans is invalid
 	}
 	return Plan{Site: s, HostsPerDataCentre: hosts, MeanServiceTime: 5 * time.Millisecond}
 }
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -1,15 +1,15 @@
-// Package stage runs a whole site in one process on loopback: the platform's
-// stand-in, backend server stand-ins, and daemons on addresses of their own.
-// The demo and the bench use it.
+// Package stage runs a whole site in one process on loopback addresses: stand-ins for
+// the platform and for the backend servers, and a daemon for each entry host. The demo
+// and the benchmarks use it.
 //
 // # Usage
 //
-//	r, err := stage.Start(stage.Lakeshore(), stage.WithSeed(1))
-//	defer r.Stop()
-//	err = r.Ready(ctx)
-//	r.KillDaemon(0)
+//	c, err := stage.Start(stage.Lakeshore(), stage.WithSeed(1))
+//	defer c.Stop()
+//	err = c.Ready(ctx)
+//	c.KillDaemon(0)
 //
-// Errors say which part could not be started.
+// Errors say which component could not be started.
 package stage
 
 import (
@@ -31,28 +31,28 @@
 	"catkinstep/io/standin/store"
 )
 
-// Plan is what a stage runs.
+// Plan describes what a Cluster runs.
 type Plan struct {
 	Site site.Site
-	// Hosts is the number of entry hosts in each data centre.
+	// HostsPerDataCentre is the number of entry hosts, by data centre.
 	HostsPerDataCentre map[string]int
-	// Work is the mean time of a request at a server.
+	// MeanServiceTime is the mean time that a request runs on a server.
 	MeanServiceTime time.Duration
 }
 
-// Option changes a Stage that Start makes.
+// Option configures a Cluster.
 type Option func(*Cluster)
 
-// WithSeed seeds all stand-ins and daemons.
+// WithSeed seeds the stand-ins; 1 by default.
 func WithSeed(seed uint64) Option { return func(c *Cluster) { c.seed = seed } }
 
-// WithLogger sets where the daemons log.
+// WithLogger sets the daemons' logger. By default, they don't log.
 func WithLogger(l *slog.Logger) Option { return func(c *Cluster) { c.log = l } }
 
-// WithoutDaemons runs the stand-ins alone, for the baseline.
+// WithoutDaemons runs only the stand-ins, for the baseline.
 func WithoutDaemons() Option { return func(c *Cluster) { c.withoutDaemons = true } }
 
-// Stage is a running site.
+// Cluster is a running site.
 type Cluster struct {
 	Oracle  *oracle.Oracle
 	Store   *store.Store
@@ -72,7 +72,7 @@
 
 type host struct {
 	prefs  prefs.Prefs
-	daemon *native.Daemon // nil while it is down
+	daemon *native.Daemon // nil while it does not run
 }
 
 const (
@@ -84,7 +84,8 @@
 	stopTimeout  = 10 * time.Second
 )
 
-// Start runs the plan. Addresses are 127.N.x.y, with the first N that is free.
+// Start starts the plan's site. All addresses are in 127.N.0.0/16, with the first N that is
+// free, so that several clusters can run on one machine.
 func Start(p Plan, opts ...Option) (*Cluster, error) {
 	c := &Cluster{Oracle: oracle.New(), Servers: map[string]*server.Server{}, plan: p, seed: 1,
 		log: slog.New(slog.DiscardHandler), killed: map[string]bool{}}
@@ -113,7 +114,8 @@
 	return c, nil
 }
 
-// claim finds a free range of addresses by listening on its platform port.
+// reserveAddresses finds a free range of addresses. A range is in use while the platform's
+// address in it is.
 func (c *Cluster) reserveAddresses() (net.Listener, error) {
 	var lastErr error
 	for n := 20; n < 120; n++ {
@@ -127,7 +129,7 @@
 	return nil, fmt.Errorf("stage: no free addresses: %w", lastErr)
 }
 
-// address gives each server of the plan its address.
+// assignAddresses sets the address of each server in the plan.
 func (c *Cluster) assignAddresses() {
 	dataCentres := make([]site.DataCentre, len(c.plan.Site.DataCentres))
 	for i, d := range c.plan.Site.DataCentres {
@@ -184,8 +186,8 @@
 	return nil
 }
 
-// Ready applies the site and waits until every key has a holder that can be
-// sent to, as an operator's first minute would go.
+// Ready applies the site's configuration, as an operator does on a new site, and waits until
+// every daemon is ready and every key has a holder that accepts requests.
 func (c *Cluster) Ready(ctx context.Context) error {
 	data, err := c.plan.Site.Marshal()
 	if err != nil {
@@ -200,7 +202,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("stage: the keys did not get holders in time")
+	return errors.New("stage: timed out waiting for a holder of every key")
 }
 
 func (c *Cluster) allSettled() bool {
@@ -225,15 +227,16 @@
 	_ = c.platformServer.Close()
 }
 
-// Site returns the configuration with its addresses.
+// Site returns the site's configuration, with the servers' addresses.
 func (c *Cluster) Site() site.Site { return c.plan.Site }
 
-// Operator returns a client of a live daemon.
+// Operator returns an operator's client of a daemon that runs.
 func (c *Cluster) Operator() *admin.Client {
 	return admin.NewClient(c.runningHosts()[0].prefs.Operator, "")
 }
 
-// ServersIn returns the addresses of a data centre's servers of a service.
+// ServersIn returns the addresses of a data centre's servers of a service; of all services if
+// the name is empty.
 func (c *Cluster) ServersIn(dataCentre, service string) []string {
 	var addresses []string
 	d, _ := c.plan.Site.DataCentre(dataCentre)
@@ -245,7 +248,7 @@
 	return addresses
 }
 
-// Pick implements load.Balancer: the hosts whose readiness check passes.
+// Pick implements load.Balancer. It chooses among the hosts that pass their readiness check.
 func (c *Cluster) Pick(n uint64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,7 +264,7 @@
 	return ready[n%uint64(len(ready))]
 }
 
-// Killed implements load.Balancer.
+// WasKilled implements load.Balancer.
 func (c *Cluster) WasKilled(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/standin/store/doc.go
+++ b/io/standin/store/doc.go
@@ -1,6 +1,6 @@
-// Package store stands in for the platform's object API: objects with versions,
-// conditional updates, long-poll watches, limits on calls, a lagging list of
-// hosts, and outages on demand. It keeps everything in memory and counts each
+// Package store is a stand-in for the platform's object API: versioned objects,
+// conditional updates, long-poll watches, rate limits, a list of hosts that shows
+// changes late, and injected faults. It keeps everything in memory and counts each
 // call by kind and data centre.
 //
 // # Usage
@@ -9,6 +9,6 @@
 //	http.Serve(listener, s)
 //	s.SetFaults(store.Faults{Down: true})
 //
-// Over HTTP: GET and PUT /objects/NAME (If-Match: VERSION, 0 for none), GET
-// /watch?after=REVISION&wait=5s, GET /hosts, GET /calls, POST /faults.
+// Over HTTP: GET and PUT /objects/NAME (If-Match: VERSION, 0 for a new object), GET
+// /watch?after=REVISION&wait=5s&prefix=PREFIX, GET /hosts, GET /calls, POST /faults.
 package store
--- a/io/standin/store/store.go
+++ b/io/standin/store/store.go
@@ -21,35 +21,35 @@
 	maxWatchWait    = time.Minute
 )
 
-// Faults are what the platform can be made to do wrong.
+// Faults are the faults to inject into the platform.
 type Faults struct {
 	// Down makes every call fail.
 	Down bool `json:"down"`
-	// DownFor lists data centres whose calls fail, as when they are cut off.
+	// DownDataCentres lists the data centres whose calls fail, as in a network partition.
 	DownDataCentres []string `json:"downFor"`
-	// Slow delays every call.
+	// Delay is added to every call.
 	Delay time.Duration `json:"slow"`
-	// LoseReplies is the share of writes that take effect without an answer.
+	// LostReplyShare is the share of writes that take effect, but whose reply is lost.
 	LostReplyShare float64 `json:"loseReplies"`
 }
 
-// Option changes a Store that New makes.
+// Option configures a Store.
 type Option func(*Store)
 
-// WithSeed seeds the faults.
+// WithSeed seeds the random choice of lost replies; 1 by default.
 func WithSeed(seed uint64) Option {
 	return func(s *Store) { s.rng = rand.New(rand.NewPCG(seed, 3)) }
 }
 
-// WithHostLag sets how late the list of hosts follows.
+// WithHostListDelay sets how late the list of hosts shows a change; 5s by default.
 func WithHostListDelay(d time.Duration) Option { return func(s *Store) { s.hostListDelay = d } }
 
-// Store is the stand-in. It is an http.Handler.
+// Store is an in-memory object store. It is an http.Handler.
 type Store struct {
 	mu            sync.Mutex
 	revision      uint64
 	objects       map[string]object
-	changed       chan struct{}
+	changed       chan struct{} // closed and replaced when objects or faults change
 	faults        Faults
 	callCounts    map[string]int
 	rng           *rand.Rand
@@ -88,30 +88,30 @@
 	return s
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	close(s.changed) // waiting watches find out
+	close(s.changed) // wakes the waiting watches
 	s.changed = make(chan struct{})
 }
 
-// SetHost tells the list of hosts of a change, which it will show late.
+// SetHost sets the state of a host. The list of hosts shows it after the delay.
 func (s *Store) SetHost(address, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[address] = host{state: state, changedAt: time.Now(), previousState: s.hosts[address].state}
 }
 
-// Calls returns the number of calls so far, by "kind dataCentre".
+// CallCounts returns the number of calls so far, by "kind dataCentre".
 func (s *Store) CallCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.callCounts)
 }
 
-// Value returns an object's value and version; zero when there is none.
+// Value returns an object's value and version; both are zero if there is no such object.
 func (s *Store) Value(name string) ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,8 @@
 	}
 }
 
-// admit counts the call and applies faults and limits.
+// admit counts the call and applies faults and rate limits. If loseReply is set, the write is
+// to take effect without a reply.
 func (s *Store) admit(w http.ResponseWriter, r *http.Request) (loseReply, ok bool) {
 	dataCentre := r.Header.Get("Catkinstep-Data-Centre")
 	kind := "read"
@@ -176,7 +177,7 @@
 	}
 	switch {
 	case isDown(f, dataCentre):
-		// No answer that could be mistaken for one: the connection breaks.
+		// The connection breaks. A status code would be a reply from a reachable platform.
 		panic(http.ErrAbortHandler)
 	case !limiter.Allow():
 		w.Header().Set("Retry-After", "1")
