--- a/cmd/catkinstep/bench.go
+++ b/cmd/catkinstep/bench.go
@@ -117,7 +117,7 @@
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%.3f%%\t%d\t%d\t%v\t%v\t%v\t%v\t%.2f\t%d (%d)\t%v\t%.2f%%\t\n", r.Variant, r.Service, r.Requests,
 			100*float64(r.Answered)/float64(max(1, r.Requests)), r.RefusedNotRun, r.Unknown, r.P50, r.P99, r.P999, r.P99All,
-			r.Imbalance, r.Churn, r.LeastChurn, r.Unavailable, 100*r.DuplicateRunShare)
+			r.Imbalance, r.Churn, r.MinChurn, r.Unavailable, 100*r.DuplicateRunShare)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/io/standin/bench/bench.go
+++ b/io/standin/bench/bench.go
@@ -1,12 +1,13 @@
-// Package bench measures the five measures over the stand-ins, for catkinstep
-// and for the baseline in which each entry host sends on its own.
+// Package bench runs benchmarks against the stand-ins, for catkinstep and for the
+// baseline, in which each entry host routes on its own. It measures latency, the
+// imbalance of load, the churn of keys, unavailable time and duplicate runs.
 //
 // # Usage
 //
-//	rows, err := bench.Run(ctx, "slowed", bench.WithSeed(1), bench.Against("direct"))
+//	rows, err := bench.Run(ctx, "slowed", bench.WithSeed(1), bench.WithVariant(bench.Baseline))
 //
-// A run takes under 40 s a variant. Errors say what could not be started; what
-// must never happen is counted in the rows.
+// A run takes less than 40 s per variant. Errors say what could not be started;
+// violations of guarantees are counted in the rows.
 package bench
 
 import (
@@ -24,32 +25,38 @@
 	"catkinstep/io/standin/stage"
 )
 
-// Row is what one service's callers got from one variant.
+// Row is the result of one service in one variant.
 type Row struct {
-	Scenario      string   `json:"scenario"`
-	Variant       string   `json:"variant"`
-	Seed          uint64   `json:"seed"`
-	Service       string   `json:"service"`
-	Requests      uint64   `json:"requests"`
-	Answered      uint64   `json:"answered"`
-	RefusedNotRun uint64   `json:"refusedNotRun"`
-	Unknown       uint64   `json:"unknown"`
-	P50           Duration `json:"p50"`
-	P99           Duration `json:"p99"`
-	P999          Duration `json:"p999"`
-	// P99All counts a lookup that was not answered as the caller's time limit.
-	P99All            Duration       `json:"p99All"`
-	Imbalance         float64        `json:"imbalance"`
-	Churn             int            `json:"churn"`
-	LeastChurn        int            `json:"leastChurn"`
-	Unavailable       Duration       `json:"unavailableTime"`
-	DuplicateRunShare float64        `json:"extraWork"`
-	Violations        oracle.Verdict `json:"violations"`
+	Scenario      string `json:"scenario"`
+	Variant       string `json:"variant"`
+	Seed          uint64 `json:"seed"`
+	Service       string `json:"service"`
+	Requests      uint64 `json:"requests"`
+	Answered      uint64 `json:"answered"`
+	RefusedNotRun uint64 `json:"refusedNotRun"`
+	Unknown       uint64 `json:"unknown"`
+	// P50, P99 and P999 are latencies of answered idempotent requests.
+	P50  Duration `json:"p50"`
+	P99  Duration `json:"p99"`
+	P999 Duration `json:"p999"`
+	// P99All includes idempotent requests without an answer, each counted as at least the timeout.
+	P99All Duration `json:"p99All"`
+	// Imbalance is the load of the busiest server divided by the mean.
+	Imbalance float64 `json:"imbalance"`
+	// Churn is how many buckets of keys moved, MinChurn how many the events made necessary.
+	Churn    int `json:"churn"`
+	MinChurn int `json:"leastChurn"`
+	// Unavailable is the longest time that requests for a key range failed.
+	Unavailable Duration `json:"unavailableTime"`
+	// DuplicateRunShare is the share of runs that were not the first of their request.
+	DuplicateRunShare float64 `json:"extraWork"`
+	// Violations are those of the whole variant, the same in all its rows.
+	Violations oracle.Verdict `json:"violations"`
 
 	ErrorCodes map[string]uint64 `json:"codes,omitempty"`
 }
 
-// Duration is a time that JSON shows as Go text.
+// Duration is a time.Duration that is encoded as text, such as "1.5s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -58,39 +65,39 @@
 // String implements fmt.Stringer.
 func (d Duration) String() string { return time.Duration(d).Round(100 * time.Microsecond).String() }
 
-// Variants.
+// Variants that can be measured.
 const (
 	Catkinstep = "catkinstep"
 	Baseline   = "direct"
 )
 
-// Option changes a run.
+// Option configures a run.
 type Option func(*run)
 
-// WithSeed seeds everything.
+// WithSeed seeds the stand-ins and the load; 1 by default.
 func WithSeed(seed uint64) Option { return func(r *run) { r.seed = seed } }
 
 // WithPlan sets the site; Lakeshore by default.
 func WithPlan(p stage.Plan) Option { return func(r *run) { r.plan = p } }
 
-// WithFor sets how long the load runs.
+// WithDuration sets how long the load runs; 20s by default.
 func WithDuration(d time.Duration) Option { return func(r *run) { r.duration = d } }
 
-// WithProgress tells what happens, a line each.
+// WithProgress sets the writer to which each event is reported as a line.
 func WithProgress(w io.Writer) Option { return func(r *run) { r.progress = w } }
 
-// WithLogger sets where the daemons log.
+// WithLogger sets the daemons' logger. By default, they don't log.
 func WithLogger(l *slog.Logger) Option { return func(r *run) { r.log = l } }
 
-// WithRate sets the requests a second of each service.
+// WithRate sets the number of requests per second for each service; 600 by default.
 func WithRate(rate float64) Option { return func(r *run) { r.rate = rate } }
 
-// Against adds a variant to measure after catkinstep.
+// WithVariant adds a variant to measure after catkinstep.
 func WithVariant(variant string) Option {
 	return func(r *run) { r.variants = append(r.variants, variant) }
 }
 
-// run is one variant's run in the making.
+// run is the run of one variant, and the configuration of it.
 type run struct {
 	plan     stage.Plan
 	seed     uint64
@@ -108,10 +115,10 @@
 	loadStartedAt time.Time
 }
 
-// ErrScenario is an unknown scenario.
+// ErrUnknownScenario is returned for a scenario or a kind of outage that does not exist.
 var ErrUnknownScenario = errors.New("no such scenario")
 
-// Run measures a scenario, catkinstep first.
+// Run runs a scenario for each variant, catkinstep first, and returns a row per service.
 func Run(ctx context.Context, name string, opts ...Option) ([]Row, error) {
 	base := newRun(opts)
 	s, ok := scenarios()[name]
@@ -131,7 +138,7 @@
 	return rows, nil
 }
 
-// newRun fills in what the options leave open.
+// newRun applies the options to the defaults.
 func newRun(opts []Option) run {
 	r := run{plan: stage.Lakeshore(), seed: 1, duration: 20 * time.Second, rate: 600, progress: io.Discard,
 		log: slog.New(slog.DiscardHandler), variants: []string{Catkinstep}}
@@ -199,7 +206,7 @@
 	r.cluster.Stop()
 }
 
-// Pick implements load.Balancer for both variants.
+// Pick implements load.Balancer. The baseline's hosts are all picked in turn.
 func (r *run) Pick(n uint64) string {
 	if r.baseline != nil {
 		return r.cluster.BaselineAddress(int(n % uint64(r.cluster.BaselineHosts())))
@@ -207,9 +214,10 @@
 	return r.cluster.Pick(n)
 }
 
-// Killed implements load.Balancer.
+// WasKilled implements load.Balancer.
 func (r *run) WasKilled(address string) bool { return r.cluster.WasKilled(address) }
 
+// progressf reports an event, with the time since the start of the load.
 func (r *run) progressf(format string, args ...any) {
 	elapsed := ""
 	if !r.loadStartedAt.IsZero() {
@@ -218,6 +226,7 @@
 	_, _ = fmt.Fprintf(r.progress, elapsed+format+"\n", args...)
 }
 
+// exampleRoute returns a path for callers, of a keyed service if there is one.
 func (r *run) exampleRoute() string {
 	for _, s := range r.cluster.Site().Services {
 		if s.Keyed {
@@ -227,7 +236,7 @@
 	return r.cluster.Site().Services[0].Name + "/items"
 }
 
-// warm lets the limits climb before anything is measured.
+// warmUp runs the load without measuring it, so that the daemons' adaptive limits can grow.
 func (r *run) warmUp(ctx context.Context) {
 	for i, s := range r.cluster.Site().Services {
 		r.generators = append(r.generators, load.New(load.Config{
@@ -256,7 +265,7 @@
 	defer cancel()
 	r.loadStartedAt = time.Now()
 	var wg sync.WaitGroup
-	wg.Go(func() { r.scenario.inject(ctx, r) })
+	wg.Go(func() { r.scenario.injectEvents(ctx, r) })
 	r.runGenerators(ctx)
 	wg.Wait()
 }
@@ -272,7 +281,7 @@
 		P50: quantile(50), P99: quantile(99), P999: quantile(99.9),
 		P99All:    Duration(time.Duration(res.AllLatency.ValueAtQuantile(99)) * time.Microsecond),
 		Imbalance: r.cluster.Oracle.Imbalance(res.Service, r.loadStartedAt, time.Now(), len(r.servers(res.Service))),
-		Churn:     moves, LeastChurn: minMoves, Unavailable: Duration(res.LongestOutage),
+		Churn:     moves, MinChurn: minMoves, Unavailable: Duration(res.LongestOutage),
 		DuplicateRunShare: r.cluster.Oracle.DuplicateRunShare(res.Service, r.loadStartedAt), Violations: v, ErrorCodes: res.ErrorCodes,
 	}
 }
--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -13,28 +13,28 @@
 	"catkinstep/core/version/site"
 )
 
-// Outage is what one kind of loss cost over several tries.
+// Outage is the unavailability that one kind of loss causes, over several trials.
 type Outage struct {
 	Kind   string `json:"kind"`
 	Trials int    `json:"tries"`
-	// Median and Longest are the longest time that any of the keys asked for was
-	// not served, in each try.
+	// Median and Longest are over the trials. Each trial counts as the longest time that any
+	// of the probed keys was not served.
 	Median  Duration `json:"median"`
 	Longest Duration `json:"longest"`
-	// LastWork is, for a data centre taken out, when after the command's return
-	// the last new order began there, at the latest.
+	// LastStart is, for the exclusion of a data centre, the longest time from the command's
+	// return to the start of the last request there.
 	LastStart Duration `json:"lastWork"`
 }
 
-// OutageKinds lists the losses that Outages knows.
+// OutageKinds returns the kinds of loss that MeasureOutages can cause.
 func OutageKinds() []string {
 	return []string{"server", "frozenServer", "daemon", "leader", "dataCentre"}
 }
 
-// probes is how many keys are asked for without a pause, each by one caller.
+// probeCount is the number of keys that are probed, each by one caller in a loop.
 const probeCount = 48
 
-// Outages measures how long keys are not served after a loss.
+// MeasureOutages measures how long keys are not served after a loss.
 func MeasureOutages(ctx context.Context, kind string, trials int, opts ...Option) (Outage, error) {
 	r := newRun(opts)
 	if !slices.Contains(OutageKinds(), kind) {
@@ -44,29 +44,29 @@
 		return Outage{}, err
 	}
 	defer r.stop()
-	out := Outage{Kind: kind, Trials: trials}
+	outage := Outage{Kind: kind, Trials: trials}
 	var gaps []time.Duration
 	for n := range trials {
 		if ctx.Err() != nil {
-			return out, ctx.Err()
+			return outage, ctx.Err()
 		}
 		gap, lastStart, err := r.measureOutage(ctx, kind, n)
 		if err != nil {
-			return out, err
+			return outage, err
 		}
 		gaps = append(gaps, gap)
-		out.LastStart = max(out.LastStart, Duration(lastStart))
-		r.progressf("try %d: %v", n+1, gap.Round(time.Millisecond))
+		outage.LastStart = max(outage.LastStart, Duration(lastStart))
+		r.progressf("trial %d: %v", n+1, gap.Round(time.Millisecond))
 	}
 	slices.Sort(gaps)
-	out.Median, out.Longest = Duration(gaps[len(gaps)/2]), Duration(gaps[len(gaps)-1])
+	outage.Median, outage.Longest = Duration(gaps[len(gaps)/2]), Duration(gaps[len(gaps)-1])
 	if v := r.cluster.Oracle.Verdict(); v.Total() > 0 {
-		return out, fmt.Errorf("bench: the oracle found: %s", strings.Join(v.Findings, "; "))
+		return outage, fmt.Errorf("bench: the oracle found: %s", strings.Join(v.Findings, "; "))
 	}
-	return out, nil
+	return outage, nil
 }
 
-// outage makes one loss while callers ask without a pause, then repairs it.
+// measureOutage causes one loss while the keys are probed, then repairs it.
 func (r *run) measureOutage(ctx context.Context, kind string, n int) (longest, lastStart time.Duration, err error) {
 	probeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -93,13 +93,14 @@
 	return slices.Max(gaps), lastStart, nil
 }
 
+// dataCentreFor returns the name of the data centre for the n-th trial.
 func (r *run) dataCentreFor(n int) string {
 	all := r.cluster.Site().DataCentres
 	return all[n%len(all)].Name
 }
 
-// lose makes a loss and returns how to repair it, and when it was done.
-func (r *run) causeLoss(ctx context.Context, kind string, n int) (repair func() error, at time.Time, err error) {
+// causeLoss causes a loss. It returns a function that repairs it, and when it was caused.
+func (r *run) causeLoss(ctx context.Context, kind string, n int) (repair func() error, causedAt time.Time, err error) {
 	dataCentre := r.dataCentreFor(n)
 	switch kind {
 	case "server", "frozenServer":
@@ -118,13 +119,13 @@
 		return func() error { s.Freeze(false); return nil }, time.Now(), nil
 	case "daemon", "leader":
 		hosts := r.cluster.HostsIn(dataCentre)
-		at := slices.IndexFunc(hosts, func(i int) bool { return r.cluster.IsLeader(i) == (kind == "leader") })
-		if at < 0 {
-			at = 0
+		hostIndex := slices.IndexFunc(hosts, func(i int) bool { return r.cluster.IsLeader(i) == (kind == "leader") })
+		if hostIndex < 0 {
+			hostIndex = 0
 		}
-		lost := hosts[at]
-		r.cluster.KillDaemon(lost)
-		return func() error { return r.cluster.StartDaemon(lost) }, time.Now(), nil
+		lostHost := hosts[hostIndex]
+		r.cluster.KillDaemon(lostHost)
+		return func() error { return r.cluster.StartDaemon(lostHost) }, time.Now(), nil
 	}
 	_, err = r.cluster.Operator().Out(ctx, site.Exclusion{DataCentre: dataCentre})
 	return func() error {
@@ -133,12 +134,12 @@
 	}, time.Now(), err
 }
 
-// longestGap asks for one key again and again, and returns the longest time
-// from one answer to the next, less what an answer takes at other times.
+// longestGap requests one key in a loop and returns the longest time from one successful
+// response to the next.
 func (r *run) longestGap(ctx context.Context, key string) time.Duration {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: false, MaxIdleConnsPerHost: 2}}
 	keyed := strings.SplitN(r.exampleRoute(), "/", 2)[0]
-	lastAnswer, longest := time.Now(), time.Duration(0)
+	lastAnswered, longest := time.Now(), time.Duration(0)
 	for n := uint64(0); ctx.Err() == nil; n++ {
 		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyed+"/items/"+key, nil)
 		if err != nil {
@@ -149,26 +150,26 @@
 			_, _ = io.Copy(io.Discard, resp.Body)
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				longest = max(longest, time.Since(lastAnswer))
-				lastAnswer = time.Now()
+				longest = max(longest, time.Since(lastAnswered))
+				lastAnswered = time.Now()
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return max(longest, time.Since(lastAnswer))
+	return max(longest, time.Since(lastAnswered))
 }
 
-// Idle is what daemons without any caller cost.
+// Idle is the cost of daemons without any callers.
 type Idle struct {
-	Daemons     int            `json:"daemons"`
-	Period      Duration       `json:"for"`
-	CallsPerMin map[string]int `json:"callsPerMinute"` // of the platform, by kind and data centre
-	// BytesPerSecond are the control messages of the busiest daemon, out and in.
+	Daemons        int            `json:"daemons"`
+	Period         Duration       `json:"for"`
+	CallsPerMinute map[string]int `json:"callsPerMinute"` // of the platform, by kind and data centre
+	// MaxBytesPerSecond counts the control messages that the busiest daemon sends and receives.
 	MaxBytesPerSecond  float64 `json:"bytesPerSecond"`
 	MeanBytesPerSecond float64 `json:"meanBytesPerSecond"`
 }
 
-// MeasureIdle counts control traffic and platform calls without any load.
+// MeasureIdle measures control traffic and calls of the platform without any load.
 func MeasureIdle(ctx context.Context, hosts int, duration time.Duration, opts ...Option) (Idle, error) {
 	r := newRun(opts)
 	for name := range r.plan.HostsPerDataCentre {
@@ -181,29 +182,29 @@
 		return Idle{}, err
 	}
 	defer r.stop()
-	time.Sleep(5 * time.Second) // the first handovers
+	time.Sleep(5 * time.Second) // waits for the first handovers
 	callsBefore, bytesBefore := r.cluster.Store.CallCounts(), r.controlBytes()
 	time.Sleep(duration)
-	out := Idle{Daemons: r.cluster.HostCount(), Period: Duration(duration), CallsPerMin: map[string]int{}}
+	idle := Idle{Daemons: r.cluster.HostCount(), Period: Duration(duration), CallsPerMinute: map[string]int{}}
 	for k, n := range r.cluster.Store.CallCounts() {
 		if n -= callsBefore[k]; n > 0 {
-			out.CallsPerMin[k] = int(float64(n) / duration.Minutes())
+			idle.CallsPerMinute[k] = int(float64(n) / duration.Minutes())
 		}
 	}
 	for i, n := range r.controlBytes() {
 		v := float64(n-bytesBefore[i]) / duration.Seconds()
-		out.MaxBytesPerSecond = max(out.MaxBytesPerSecond, v)
-		out.MeanBytesPerSecond += v / float64(r.cluster.HostCount())
+		idle.MaxBytesPerSecond = max(idle.MaxBytesPerSecond, v)
+		idle.MeanBytesPerSecond += v / float64(r.cluster.HostCount())
 	}
-	return out, nil
+	return idle, nil
 }
 
-// bytes returns the control bytes of each daemon so far, what it was asked by
-// others included.
+// controlBytes returns how many bytes of control messages each daemon has sent and received,
+// including those of requests from other daemons.
 func (r *run) controlBytes() []int64 {
-	out := make([]int64, r.cluster.HostCount())
-	for i := range out {
-		out[i] = r.cluster.ControlBytes(i)
+	bytes := make([]int64, r.cluster.HostCount())
+	for i := range bytes {
+		bytes[i] = r.cluster.ControlBytes(i)
 	}
-	return out
+	return bytes
 }
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -8,32 +8,33 @@
 	"catkinstep/io/standin/server"
 )
 
-// scenario is a load and what happens during it.
+// scenario is a load and the events that happen during it.
 type scenario struct {
 	zipfExponent       float64
 	nonIdempotentShare float64
-	inject             func(ctx context.Context, r *run)
+	injectEvents       func(ctx context.Context, r *run)
 }
 
 func scenarios() map[string]scenario {
 	return map[string]scenario{
-		"steady":     {zipfExponent: 1.1, nonIdempotentShare: 0.2, inject: func(context.Context, *run) {}},
-		"slowed":     {nonIdempotentShare: 0.1, inject: slowed},
-		"departure":  {nonIdempotentShare: 0.1, inject: departure},
-		"turnsCold":  {nonIdempotentShare: 0.1, inject: turnsCold},
-		"hotKey":     {zipfExponent: 1.6, nonIdempotentShare: 0.1, inject: func(context.Context, *run) {}},
-		"serverLoss": {nonIdempotentShare: 0.1, inject: serverLoss},
-		"hostLoss":   {nonIdempotentShare: 0.2, inject: hostLoss},
-		"story":      {zipfExponent: 1.05, nonIdempotentShare: 0.2, inject: story},
+		"steady":     {zipfExponent: 1.1, nonIdempotentShare: 0.2, injectEvents: func(context.Context, *run) {}},
+		"slowed":     {nonIdempotentShare: 0.1, injectEvents: slowed},
+		"departure":  {nonIdempotentShare: 0.1, injectEvents: departure},
+		"turnsCold":  {nonIdempotentShare: 0.1, injectEvents: turnsCold},
+		"hotKey":     {zipfExponent: 1.6, nonIdempotentShare: 0.1, injectEvents: func(context.Context, *run) {}},
+		"serverLoss": {nonIdempotentShare: 0.1, injectEvents: serverLoss},
+		"hostLoss":   {nonIdempotentShare: 0.2, injectEvents: hostLoss},
+		"story":      {zipfExponent: 1.05, nonIdempotentShare: 0.2, injectEvents: story},
 	}
 }
 
-// Names lists the scenarios.
+// ScenarioNames returns the scenarios of the benchmarks. The demo's, story, is not among them.
 func ScenarioNames() []string {
 	return []string{"steady", "slowed", "departure", "turnsCold", "hotKey", "serverLoss", "hostLoss"}
 }
 
-// at waits until a part of the run has passed.
+// waitUntilFraction blocks until a fraction of the run has passed. It returns false if the
+// context ends first.
 func (r *run) waitUntilFraction(ctx context.Context, fraction float64) bool {
 	t := time.NewTimer(time.Until(r.loadStartedAt.Add(time.Duration(fraction * float64(r.duration)))))
 	defer t.Stop()
@@ -45,73 +46,72 @@
 	}
 }
 
-// slowed makes a fifth of each service's servers ten times slower for spells.
+// slowed makes a fifth of each service's servers ten times slower, in three phases.
 func slowed(ctx context.Context, r *run) {
 	for phase := 0; phase < 3; phase++ {
 		if !r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3) {
 			return
 		}
-		var slow []*server.Server
+		var slowServers []*server.Server
 		for _, s := range r.cluster.Site().Services {
 			all := r.servers(s.Name)
 			for i := range max(1, len(all)/5) {
 				v := r.cluster.Servers[all[(i*5+phase*2)%len(all)]]
 				v.SetFaults(server.Faults{SlowdownFactor: 10})
-				slow = append(slow, v)
+				slowServers = append(slowServers, v)
 			}
 		}
-		r.progressf("%d servers are ten times slower", len(slow))
-		ok := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
-		for _, v := range slow {
+		r.progressf("%d servers are ten times slower", len(slowServers))
+		inTime := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
+		for _, v := range slowServers {
 			v.SetFaults(server.Faults{})
 		}
-		r.progressf("they are as fast as before")
-		if !ok {
+		r.progressf("the slowed servers are back to normal speed")
+		if !inTime {
 			return
 		}
 	}
 }
 
-// departure takes a data centre out and in again.
+// departure takes a data centre out of service and back in.
 func departure(ctx context.Context, r *run) {
 	if !r.waitUntilFraction(ctx, 0.2) {
 		return
 	}
-	name := r.cluster.Site().DataCentres[1].Name
-	r.exclude(ctx, name)
+	dataCentre := r.cluster.Site().DataCentres[1].Name
+	r.exclude(ctx, dataCentre)
 	if !r.waitUntilFraction(ctx, 0.6) {
 		return
 	}
-	r.include(ctx, name)
+	r.include(ctx, dataCentre)
 }
 
-func (r *run) exclude(ctx context.Context, name string) {
+func (r *run) exclude(ctx context.Context, dataCentre string) {
 	for _, s := range r.cluster.Site().Services {
-		r.churn.ExpectMoves(s.Name, r.cluster.ServersIn(name, s.Name), 2)
+		r.churn.ExpectMoves(s.Name, r.cluster.ServersIn(dataCentre, s.Name), 2)
 	}
 	if r.baseline != nil {
-		r.baseline.SetExcluded(name, true)
-	} else if _, err := r.cluster.Operator().Out(ctx, site.Exclusion{DataCentre: name}); err != nil {
-		r.progressf("data centre out %s: %v", name, err)
+		r.baseline.SetExcluded(dataCentre, true)
+	} else if _, err := r.cluster.Operator().Out(ctx, site.Exclusion{DataCentre: dataCentre}); err != nil {
+		r.progressf("data centre out %s: %v", dataCentre, err)
 		return
 	}
-	r.cluster.Oracle.RecordExclusion(name, "", time.Now())
-	r.progressf("data centre %s is out", name)
+	r.cluster.Oracle.RecordExclusion(dataCentre, "", time.Now())
+	r.progressf("data centre %s is out of service", dataCentre)
 }
 
-func (r *run) include(ctx context.Context, name string) {
-	r.cluster.Oracle.RecordInclusion(name, "", time.Now())
+func (r *run) include(ctx context.Context, dataCentre string) {
+	r.cluster.Oracle.RecordInclusion(dataCentre, "", time.Now())
 	if r.baseline != nil {
-		r.baseline.SetExcluded(name, false)
-	} else if _, err := r.cluster.Operator().In(ctx, site.Exclusion{DataCentre: name}); err != nil {
-		r.progressf("data centre in %s: %v", name, err)
+		r.baseline.SetExcluded(dataCentre, false)
+	} else if _, err := r.cluster.Operator().In(ctx, site.Exclusion{DataCentre: dataCentre}); err != nil {
+		r.progressf("data centre in %s: %v", dataCentre, err)
 		return
 	}
-	r.progressf("data centre %s is in again", name)
+	r.progressf("data centre %s is back in service", dataCentre)
 }
 
-// turnsCold lets one server of each service turn cold without a warning, and
-// another restart.
+// turnsCold makes one server of each service cold without a restart, and restarts another.
 func turnsCold(ctx context.Context, r *run) {
 	if !r.waitUntilFraction(ctx, 0.25) {
 		return
@@ -119,7 +119,7 @@
 	for _, s := range r.cluster.Site().Services {
 		r.cluster.Servers[r.servers(s.Name)[0]].TurnCold()
 	}
-	r.progressf("a server of each service has turned cold")
+	r.progressf("a server of each service has turned cold without a restart")
 	if !r.waitUntilFraction(ctx, 0.5) {
 		return
 	}
@@ -133,37 +133,38 @@
 	r.progressf("another server of each service has restarted, cold")
 }
 
-// serverLoss ends a server of each service and brings it back.
+// serverLoss crashes a server of each service and restarts it.
 func serverLoss(ctx context.Context, r *run) {
 	if !r.waitUntilFraction(ctx, 0.2) {
 		return
 	}
-	r.stopServers()
+	r.crashServers()
 	if !r.waitUntilFraction(ctx, 0.6) {
 		return
 	}
-	r.startServers()
+	r.restartServers()
 }
 
-func (r *run) stopServers() {
+func (r *run) crashServers() {
 	for _, s := range r.cluster.Site().Services {
 		lost := r.servers(s.Name)[2]
 		r.churn.ExpectMoves(s.Name, []string{lost}, 2)
 		r.cluster.Servers[lost].Stop()
 	}
-	r.progressf("a server of each service is lost")
+	r.progressf("a server of each service has crashed")
 }
 
-func (r *run) startServers() {
+func (r *run) restartServers() {
 	for _, s := range r.cluster.Site().Services {
 		if err := r.cluster.Servers[r.servers(s.Name)[2]].Start(); err != nil {
-			r.progressf("return: %v", err)
+			r.progressf("restart: %v", err)
 		}
 	}
-	r.progressf("the lost servers are back, cold")
+	r.progressf("the crashed servers have restarted, cold")
 }
 
-// hostLoss kills entry hosts, a leader among them, and starts them again.
+// hostLoss kills two entry hosts of the first data centre in turn, and restarts them. One of
+// them is meant to be the leader, but nothing ensures it.
 func hostLoss(ctx context.Context, r *run) {
 	if r.baseline != nil {
 		return
@@ -175,44 +176,44 @@
 		}
 		index := hosts[i]
 		r.cluster.KillDaemon(index)
-		r.progressf("daemon %d is killed", index)
+		r.progressf("killed daemon %d", index)
 		if !r.waitUntilFraction(ctx, fraction+0.2) {
 			return
 		}
 		if err := r.cluster.StartDaemon(index); err != nil {
 			r.progressf("daemon %d: %v", index, err)
 		}
-		r.progressf("daemon %d is started again from nothing", index)
+		r.progressf("restarted daemon %d, without state", index)
 	}
 }
 
-// story is the demo's: some of everything an operator meets.
+// story is the demo's scenario: the common faults and the commands of an operator.
 func story(ctx context.Context, r *run) {
-	last := r.cluster.HostCount() - 1
-	name := r.cluster.Site().DataCentres[2].Name
-	slow := r.servers(r.cluster.Site().Services[0].Name)[4]
+	host := r.cluster.HostCount() - 1
+	dataCentre := r.cluster.Site().DataCentres[2].Name
+	slowServer := r.servers(r.cluster.Site().Services[0].Name)[4]
 	for _, step := range []struct {
-		part float64
-		do   func()
+		fraction float64
+		do       func()
 	}{
 		{0.05, func() { r.usePreset(ctx, "peak") }},
-		{0.10, func() { r.stopServers() }},
-		{0.25, func() { r.startServers() }},
+		{0.10, func() { r.crashServers() }},
+		{0.25, func() { r.restartServers() }},
 		{0.32, func() {
-			r.cluster.KillDaemon(last)
-			r.progressf("the daemon on %s is killed", r.cluster.HostAddress(last))
+			r.cluster.KillDaemon(host)
+			r.progressf("killed the daemon on %s", r.cluster.HostAddress(host))
 		}},
-		{0.42, func() { r.startDaemon(last) }},
-		{0.45, func() { r.exclude(ctx, name) }},
-		{0.65, func() { r.include(ctx, name) }},
+		{0.42, func() { r.restartDaemon(host) }},
+		{0.45, func() { r.exclude(ctx, dataCentre) }},
+		{0.65, func() { r.include(ctx, dataCentre) }},
 		{0.72, func() {
-			r.cluster.Servers[slow].SetFaults(server.Faults{SlowdownFactor: 10})
-			r.progressf("the server %s is ten times slower", slow)
+			r.cluster.Servers[slowServer].SetFaults(server.Faults{SlowdownFactor: 10})
+			r.progressf("the server %s is ten times slower", slowServer)
 		}},
-		{0.82, func() { r.stopDaemon(last) }},
+		{0.82, func() { r.stopDaemon(host) }},
 		{0.92, func() { r.usePreset(ctx, "ordinary") }},
 	} {
-		if !r.waitUntilFraction(ctx, step.part) {
+		if !r.waitUntilFraction(ctx, step.fraction) {
 			return
 		}
 		step.do()
@@ -228,18 +229,18 @@
 	r.progressf("preset %s is in force as version %d", a.Preset, a.Version)
 }
 
-func (r *run) startDaemon(n int) {
+func (r *run) restartDaemon(n int) {
 	if err := r.cluster.StartDaemon(n); err != nil {
 		r.progressf("daemon: %v", err)
 		return
 	}
-	r.progressf("the daemon on %s is started again from nothing", r.cluster.HostAddress(n))
+	r.progressf("restarted the daemon on %s, without state", r.cluster.HostAddress(n))
 }
 
 func (r *run) stopDaemon(n int) {
 	if err := r.cluster.StopDaemon(n); err != nil {
-		r.progressf("planned stop: %v", err)
+		r.progressf("graceful stop: %v", err)
 		return
 	}
-	r.progressf("the daemon on %s has stopped as planned", r.cluster.HostAddress(n))
+	r.progressf("the daemon on %s has shut down gracefully", r.cluster.HostAddress(n))
 }
--- a/io/standin/direct/direct.go
+++ b/io/standin/direct/direct.go
@@ -1,15 +1,15 @@
-// Package direct is the baseline that the bench compares with: entry hosts that
-// each send to the backend servers on their own, round robin or by hash, with
-// static limits. It has no owner of keys and no slow start.
+// Package direct is the baseline of the benchmarks: entry hosts that do not coordinate.
+// Each chooses backend servers on its own, round robin or by the hash of the key, with
+// static limits. Keys have no owner, and cold servers get no slow start.
 //
 // # Usage
 //
-//	d := direct.New(site, hosts)
-//	err := d.Start("127.20.1.1:8080")
-//	d.SetOut("duluth", true)
-//	d.Stop()
+//	b := direct.New(site)
+//	err := b.Start("127.20.1.1:8080")
+//	b.SetExcluded("duluth", true)
+//	b.Stop()
 //
-// Errors say which address could not be opened.
+// Errors say which address could not be listened on.
 package direct
 
 import (
@@ -31,9 +31,10 @@
 	"catkinstep/core/version/site"
 )
 
+// maxAttempts limits the servers that one request is sent to.
 const maxAttempts = 2
 
-// Direct is the baseline's entry hosts.
+// Baseline is a set of entry hosts that do not coordinate.
 type Baseline struct {
 	site site.Site
 
@@ -52,39 +53,40 @@
 	slots      map[string]chan struct{}
 }
 
-// New returns a baseline without hosts.
+// New returns a Baseline without hosts.
 func New(s site.Site) *Baseline { return &Baseline{site: s, excluded: map[string]bool{}} }
 
-// Start runs one more entry host.
-func (d *Baseline) Start(address string) error {
+// Start starts one more entry host.
+func (b *Baseline) Start(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("direct: %w", err)
 	}
-	h := &host{baseline: d, roundRobin: map[string]int{}, slots: map[string]chan struct{}{},
+	h := &host{baseline: b, roundRobin: map[string]int{}, slots: map[string]chan struct{}{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}}
 	h.http = &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
-	d.hosts = append(d.hosts, h)
+	b.hosts = append(b.hosts, h)
 	go func() { _ = h.http.Serve(l) }()
 	return nil
 }
 
-// SetOut takes a data centre out, or in again, at once at every host.
-func (d *Baseline) SetExcluded(dataCentre string, exclude bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.excluded[dataCentre] = exclude
+// SetExcluded excludes a data centre, or includes it again, at once on every host.
+func (b *Baseline) SetExcluded(dataCentre string, exclude bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.excluded[dataCentre] = exclude
 }
 
-// Stop ends all hosts.
-func (d *Baseline) Stop() {
-	for _, h := range d.hosts {
+// Stop stops all hosts.
+func (b *Baseline) Stop() {
+	for _, h := range b.hosts {
 		_ = h.http.Close()
 	}
 }
 
-// ServeHTTP sends a request to the next server and retries a lookup once.
+// ServeHTTP sends a request to a server. It retries once if the request did not run or is
+// idempotent.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	service, ok := h.baseline.site.Service(name)
@@ -122,6 +124,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"code": "direct"})
 }
 
+// pickServer returns the next server of the service, or the one that the key's hash selects if
+// the service has keys; empty if all are excluded.
 func (h *host) pickServer(s site.Service, path string) string {
 	h.baseline.mu.Lock()
 	var servers []string
@@ -146,17 +150,18 @@
 	return servers[h.roundRobin[s.Name]%len(servers)]
 }
 
-// enter waits for one of this host's slots at a server.
+// acquireSlot waits until this host runs fewer requests than a server has slots. It returns
+// false if the context ends first.
 func (h *host) acquireSlot(ctx context.Context, s site.Service, server string) bool {
 	h.mu.Lock()
-	c := h.slots[server]
-	if c == nil {
-		c = make(chan struct{}, s.Slots)
-		h.slots[server] = c
+	serverSlots := h.slots[server]
+	if serverSlots == nil {
+		serverSlots = make(chan struct{}, s.Slots)
+		h.slots[server] = serverSlots
 	}
 	h.mu.Unlock()
 	select {
-	case c <- struct{}{}:
+	case serverSlots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -165,9 +170,9 @@
 
 func (h *host) releaseSlot(server string) {
 	h.mu.Lock()
-	c := h.slots[server]
+	serverSlots := h.slots[server]
 	h.mu.Unlock()
-	<-c
+	<-serverSlots
 }
 
 func (h *host) send(ctx context.Context, server, path string, r *http.Request, body []byte) (data []byte, outcome string) {
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -1,7 +1,8 @@
-// Package load stands in for callers: an open-loop stream of lookups and
-// bookings over skewed keys, through whichever entry hosts the balancer has.
-// Latency counts from the moment a request was due, so that a system that
-// stalls does not hide it by slowing the callers down.
+// Package load is a load generator that stands in for callers. It sends an open-loop
+// stream of idempotent and non-idempotent requests, with a skewed distribution of keys,
+// through the entry hosts that a balancer picks. Latency is measured from the time at
+// which a request was due, so that a system that stalls can't hide it by slowing the
+// callers down (coordinated omission).
 //
 // # Usage
 //
@@ -9,8 +10,8 @@
 //	g.Run(ctx)
 //	r := g.Result()
 //
-// What goes wrong is counted in the Result and reported to the oracle; nothing
-// fails.
+// Its functions do not fail: failures of requests are counted in the Result and reported
+// to the recorder.
 package load
 
 import (
@@ -34,37 +35,40 @@
 	"catkinstep/io/standin/oracle"
 )
 
-// Balancer names a live entry host; it stands in for the platform's.
+// Balancer picks the entry host for a request, as the platform's load balancer does.
 type Balancer interface {
-	// Pick returns the address of an entry host.
+	// Pick returns the address of an entry host. Different n spread requests over the hosts.
 	Pick(n uint64) string
-	// Killed tells whether an entry host was killed, not stopped as planned,
+	// WasKilled reports whether an entry host was killed rather than shut down gracefully,
 	// so that its callers' connections may have broken.
 	WasKilled(address string) bool
 }
 
-// Judge learns what callers got; oracle.Oracle is one.
+// Recorder receives the final result of each request. It is implemented by oracle.Oracle.
 type Recorder interface{ RecordResult(oracle.CallerResult) }
 
-// Config describes one service's callers.
+// Config describes the load on one service.
 type Config struct {
 	Service string
-	// Path makes a request's path from its key.
+	// Path is the path of requests; KEY in it is replaced by the key.
 	Path string
-	// Rate is requests a second; Bookings the share that must run at most once.
-	Rate               float64
+	// Rate is the number of requests per second.
+	Rate float64
+	// NonIdempotentShare is the share of requests that must run at most once.
 	NonIdempotentShare float64
-	// Keys is the number of keys; Skew their Zipf exponent, above 1, or 0 for even.
-	Keys         uint64
+	// Keys is the number of keys.
+	Keys uint64
+	// ZipfExponent sets the Zipf distribution of keys; up to 1, the distribution is uniform.
 	ZipfExponent float64
-	// RunsOnce means that a booking is safely sent again under its id.
+	// DedupByID is set if the service recognises a request that is sent again under its ID, so
+	// that a non-idempotent request can be retried safely.
 	DedupByID bool
-	// Timeout is what callers allow.
+	// Timeout is how long callers wait for a response; default 2s.
 	Timeout time.Duration
 	Seed    uint64
 }
 
-// Result is what one service's callers saw.
+// Result is what the callers of one service saw. Latencies are in microseconds.
 type Result struct {
 	Service              string
 	Requests             uint64
@@ -73,33 +77,33 @@
 	Unknown              uint64
 	Retries              uint64
 	ErrorCodes           map[string]uint64
-	AllLatency           *hdrhistogram.Histogram // of all lookups; one not answered counts as the time limit
-	AnsweredLatency      *hdrhistogram.Histogram // of lookups that were answered, in microseconds
-	NonIdempotentLatency *hdrhistogram.Histogram // of bookings that were answered
-	LongestOutage        time.Duration           // the longest time that a key was asked for and not served
+	AllLatency           *hdrhistogram.Histogram // of all idempotent requests; one without an answer counts at least as the timeout
+	AnsweredLatency      *hdrhistogram.Histogram // of answered idempotent requests
+	NonIdempotentLatency *hdrhistogram.Histogram // of answered non-idempotent requests
+	LongestOutage        time.Duration           // longest time that requests for a key range failed
 }
 
-// Generator makes the load.
+// Generator sends the requests to one service.
 type Generator struct {
 	config      Config
 	balancer    Balancer
 	recorder    Recorder
 	client      *http.Client
-	lastRequest uint64 // requests ever made: an id is never used for another one
+	lastRequest uint64 // not cleared by Reset, so that no request ID is used twice
 
 	mu           sync.Mutex
 	result       Result
 	failingSince map[int]time.Time
 }
 
-// Histogram bounds: 1 microsecond to 60 s with three digits.
 const (
+	// Latencies are recorded from 1 microsecond up to 60 s with three significant digits.
 	maxLatencyMicros = 60_000_000
 	histogramDigits  = 3
 	maxAttempts      = 3
 )
 
-// New returns a Generator.
+// New returns a Generator that does not run yet.
 func New(c Config, b Balancer, r Recorder) *Generator {
 	if c.Timeout == 0 {
 		c.Timeout = 2 * time.Second
@@ -112,7 +116,7 @@
 	return g
 }
 
-// Reset forgets what was counted, so that a part of a run can be measured.
+// Reset clears the result, so that a part of a run can be measured.
 func (g *Generator) Reset() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +128,7 @@
 	}
 }
 
-// Result returns what was counted since the last Reset.
+// Result returns a copy of the result since the last Reset.
 func (g *Generator) Result() Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -139,7 +143,7 @@
 	return r
 }
 
-// Run makes requests until the context ends, and waits for their answers.
+// Run sends requests until the context ends, and waits for their results.
 func (g *Generator) Run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(g.config.Seed, 11))
 	var zipf *rand.Zipf
@@ -170,7 +174,7 @@
 	}
 }
 
-// call is one request of a caller, with all its resends.
+// call is one request of a caller, with all its attempts.
 type call struct {
 	id, key       string
 	number        uint64
@@ -178,7 +182,7 @@
 	dueAt         time.Time
 }
 
-// outcome is what one try brought.
+// attemptResult is the result of one attempt. The code says why there was no response.
 type attemptResult struct {
 	callerResult oracle.CallerResult
 	code         string
@@ -186,35 +190,35 @@
 }
 
 func (g *Generator) send(c call) {
-	var o attemptResult
-	mayHaveRun := false // whether an earlier try may have run
+	var last attemptResult
+	mayHaveRun := false // an attempt may have run
 	for attempt := range uint64(maxAttempts) {
-		o = g.attempt(c, attempt)
-		mayHaveRun = mayHaveRun || o.callerResult.Outcome == "unknown"
-		if !o.retry {
+		last = g.attempt(c, attempt)
+		mayHaveRun = mayHaveRun || last.callerResult.Outcome == "unknown"
+		if !last.retry {
 			break
 		}
 		g.mu.Lock()
 		g.result.Retries++
 		g.mu.Unlock()
 	}
-	if mayHaveRun && o.callerResult.Outcome == "notRun" {
-		o.callerResult.Outcome = "unknown" // it is the last try that did not run
+	if mayHaveRun && last.callerResult.Outcome == "notRun" {
+		last.callerResult.Outcome = "unknown" // only the last attempt is known not to have run
 	}
 	latency := time.Since(c.dueAt)
-	g.recorder.RecordResult(o.callerResult)
+	g.recorder.RecordResult(last.callerResult)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := &g.result
 	r.Requests++
 	if !c.nonIdempotent {
 		counted := latency
-		if o.callerResult.Outcome != "answered" {
+		if last.callerResult.Outcome != "answered" {
 			counted = max(latency, g.config.Timeout)
 		}
 		_ = r.AllLatency.RecordValue(min(max(1, counted.Microseconds()), maxLatencyMicros))
 	}
-	switch o.callerResult.Outcome {
+	switch last.callerResult.Outcome {
 	case "answered":
 		r.Answered++
 		h := r.AnsweredLatency
@@ -229,17 +233,17 @@
 		r.LongestOutage = max(r.LongestOutage, outageFromLatency(latency))
 	case "notRun":
 		r.NotRun++
-		r.ErrorCodes[o.code]++
-		g.recordFailure(c, o.code)
+		r.ErrorCodes[last.code]++
+		g.recordFailure(c, last.code)
 	default:
 		r.Unknown++
-		r.ErrorCodes[o.code]++
-		g.recordFailure(c, o.code)
+		r.ErrorCodes[last.code]++
+		g.recordFailure(c, last.code)
 	}
 }
 
-// fails notes that the keys of a bucket were not served. Too little room is no
-// outage, and a lost answer says nothing of whether others are served.
+// recordFailure starts an outage of the key's bucket, unless the code says that there is none:
+// a lack of capacity is no outage, and a lost response does not mean that other requests fail.
 func (g *Generator) recordFailure(c call, code string) {
 	switch code {
 	case "allBusy", "serverNotHoldingOrFull", "coldServer", "deadlineTooNear", "attemptFailed", "hostLost":
@@ -250,12 +254,13 @@
 	}
 }
 
-// buckets is how finely outages are counted.
+// outageBuckets is the number of key ranges for which outages are measured separately.
 const outageBuckets = 256
 
 func bucketOf(key string) int { return grant.KeyOf(key) * outageBuckets / (grant.LastKey + 1) }
 
-// longWait counts a wait as an outage when no queue explains it.
+// outageFromLatency returns the latency of an answered request if it counts as an outage, and
+// zero otherwise. Below 250 ms, queueing explains the latency.
 func outageFromLatency(latency time.Duration) time.Duration {
 	if latency < 250*time.Millisecond {
 		return 0
@@ -271,8 +276,8 @@
 	if c.nonIdempotent {
 		method, body = http.MethodPost, "{}"
 	}
-	path := "http://" + host + "/" + g.config.Service + strings.ReplaceAll(g.config.Path, "KEY", c.key)
-	req, err := http.NewRequestWithContext(ctx, method, path, io.NopCloser(bytes.NewReader([]byte(body))))
+	url := "http://" + host + "/" + g.config.Service + strings.ReplaceAll(g.config.Path, "KEY", c.key)
+	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader([]byte(body))))
 	if err != nil {
 		return attemptResult{callerResult: oracle.CallerResult{ID: c.id, Outcome: "notRun"}, code: err.Error()}
 	}
@@ -288,20 +293,22 @@
 	if err != nil {
 		return g.connectionFailed(c, host, err)
 	}
-	o := parseResponse(c, resp, data)
-	o.retry = c.nonIdempotent && g.config.DedupByID && o.callerResult.Outcome == "unknown" && o.code != "outcomeLost"
-	return o
+	result := parseResponse(c, resp, data)
+	result.retry = c.nonIdempotent && g.config.DedupByID && result.callerResult.Outcome == "unknown" && result.code != "outcomeLost"
+	return result
 }
 
-// broken is a connection that brought no answer. That of a killed host is made
-// up for by sending again, as callers do; that of any other was cut.
+// connectionFailed returns the result of an attempt whose connection brought no response. If
+// the host refused the connection or was killed, the request is retried if that is safe, as
+// callers do. If another host's connection broke, that host lost the request, unless the
+// attempt timed out.
 func (g *Generator) connectionFailed(c call, host string, err error) attemptResult {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	var timeout net.Error
 	timedOut := errors.As(err, &timeout) && timeout.Timeout()
 	if refused || g.balancer.WasKilled(host) {
-		// A booking that was read may have run. Where it would run a second time only its
-		// caller can decide to book anew.
+		// Unless the connection was refused, a non-idempotent request may have run. If the
+		// service does not recognise its ID, a retry could run it a second time.
 		callerResult := oracle.CallerResult{ID: c.id, Outcome: "unknown"}
 		if refused {
 			callerResult.Outcome = "notRun"
@@ -311,6 +318,8 @@
 	return attemptResult{callerResult: oracle.CallerResult{ID: c.id, Outcome: "unknown", ConnectionLost: !timedOut}, code: "noAnswer"}
 }
 
+// parseResponse returns the result of a response. An answered request must get its own ID and
+// key back.
 func parseResponse(c call, resp *http.Response, data []byte) attemptResult {
 	callerResult := oracle.CallerResult{ID: c.id, Outcome: resp.Header.Get("Catkinstep-Outcome")}
 	if callerResult.Outcome == "answered" {
@@ -325,6 +334,7 @@
 	return attemptResult{callerResult: callerResult, code: f.Code}
 }
 
+// waitUntil blocks until the deadline. It returns false if the context ends first.
 func waitUntil(ctx context.Context, deadline time.Time) bool {
 	d := time.Until(deadline)
 	if d <= 0 {
--- a/io/standin/oracle/oracle.go
+++ b/io/standin/oracle/oracle.go
@@ -50,7 +50,7 @@
 	DoubleRun int `json:"doubleRun"`
 	// WrongAnswer counts responses that were another request's, or malformed.
 	WrongAnswer int `json:"wrongAnswer"`
-	// FalseNotRun counts requests that ran though the caller was told that they had not.
+	// FalseNotRun counts requests that ran although the response said that they had not.
 	FalseNotRun int `json:"falseNotRun"`
 	// Overload counts requests that a server received beyond its capacity.
 	Overload int `json:"overload"`
@@ -151,7 +151,7 @@
 			v.addFinding("request %s got a wrong or malformed response", result.ID)
 		case result.Outcome == "notRun" && runsByID[result.ID] > 0:
 			v.FalseNotRun++
-			v.addFinding("request %s ran, but its caller was told that it did not", result.ID)
+			v.addFinding("request %s ran, but its response said that it did not", result.ID)
 		}
 	}
 	return v
--- a/io/standin/server/doc.go
+++ b/io/standin/server/doc.go
@@ -1,4 +1,4 @@
-// Package server is a stand-in for a backend server that speaks the product's own
+// Package server is a stand-in for a backend server that implements the product's own
 // protocol. It enforces grants of keys, deadlines and its limit of concurrent
 // requests, is cold after a start, ends a cancelled request early if it is idempotent,
 // and marks its refusals as not run. Faults can be injected: slowness, a frozen
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -8,7 +8,7 @@
 	"catkinstep/io/process/native"
 )
 
-// Hosts returns the number of entry hosts.
+// HostCount returns the number of entry hosts.
 func (c *Cluster) HostCount() int { return len(c.hosts) }
 
 // HostAddress returns the address on which an entry host serves callers.
