--- a/io/connection/plat/plat_test.go
+++ b/io/connection/plat/plat_test.go
@@ -37,7 +37,7 @@
 	Convey("A write whose response was lost has an unknown outcome, and is not retried", t, func() {
 		s, c, stop := startPlatform()
 		defer stop()
-		s.SetFaults(store.Faults{LoseReplies: 1})
+		s.SetFaults(store.Faults{LostReplyShare: 1})
 		_, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(plat.IsKind(err, plat.OutcomeUnknown), ShouldBeTrue)
 		value, version := s.Value("site")
@@ -47,10 +47,10 @@
 	Convey("The platform can be unreachable for one data centre only", t, func() {
 		s, c, stop := startPlatform()
 		defer stop()
-		s.SetFaults(store.Faults{DownFor: []string{"duluth"}})
+		s.SetFaults(store.Faults{DownDataCentres: []string{"duluth"}})
 		_, err := c.Read(ctx, "site")
 		So(plat.IsKind(err, plat.Unreachable), ShouldBeTrue)
-		s.SetFaults(store.Faults{DownFor: []string{"toledo"}})
+		s.SetFaults(store.Faults{DownDataCentres: []string{"toledo"}})
 		_, err = c.Read(ctx, "site")
 		So(err, ShouldBeNil)
 	})
@@ -69,7 +69,7 @@
 			next, _ := c.Watch(ctx, "site", got.Revision, 3*time.Second)
 			later <- next
 		}()
-		for s.Calls()["watch duluth"] < 2 {
+		for s.CallCounts()["watch duluth"] < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		_, err = c.Write(ctx, "site", first.Version, []byte("b"))
@@ -77,7 +77,7 @@
 		next := <-later
 		So(next.Objects, ShouldHaveLength, 1)
 		So(string(next.Objects[0].Value), ShouldEqual, "b")
-		So(s.Calls()["watch duluth"], ShouldEqual, 2)
+		So(s.CallCounts()["watch duluth"], ShouldEqual, 2)
 	})
 	Convey("A watch without changes returns after its wait, with the current revision", t, func() {
 		_, c, stop := startPlatform()
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -45,7 +45,7 @@
 		Services: []site.Service{{Name: "intake", Slots: 3, MaxConnections: 30}, {Name: "workshop", Keyed: true, KeySegment: 2, Slots: 3, MaxConnections: 30},
 			{Name: "labels", Keyed: true, KeyByID: true, Slots: 3, MaxConnections: 30}}}
 	for _, service := range []string{"intake", "intake", "workshop", "workshop", "labels", "labels"} {
-		s := server.New(server.Config{Address: ports.Free(t), Service: service, DataCentre: "duluth", Slots: 3, Keyed: service != "intake", Work: 5 * time.Millisecond}, ts.oracle)
+		s := server.New(server.Config{Address: ports.Free(t), Service: service, DataCentre: "duluth", Slots: 3, Keyed: service != "intake", MeanServiceTime: 5 * time.Millisecond}, ts.oracle)
 		if err := s.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 type response struct {
 	status  int
 	header  http.Header
-	answer  server.Answer
+	answer  server.Response
 	failure native.ErrorBody
 }
 
@@ -203,7 +203,7 @@
 		}), ShouldBeTrue)
 		// The oracle accepts new requests in the first two seconds after an exclusion. The server
 		// gets none any more, so these seconds are set in the past.
-		ts.oracle.Out("", excluded, time.Now().Add(-2*time.Second))
+		ts.oracle.RecordExclusion("", excluded, time.Now().Add(-2*time.Second))
 		for range 10 {
 			So(ts.send(d, http.MethodGet, "/workshop/benches/7", "").answer.Server, ShouldNotEqual, excluded)
 		}
@@ -239,14 +239,14 @@
 		d := ts.daemons[0]
 		So(ts.becomesReady(d), ShouldBeTrue)
 		for _, v := range ts.servers {
-			v.SetFaults(server.Faults{CutAnswers: 1})
+			v.SetFaults(server.Faults{TruncatedShare: 1})
 		}
-		runsBefore := ts.oracle.Runs()
+		runsBefore := ts.oracle.RunCount()
 		f := ts.send(d, http.MethodPost, "/intake/labels/1", "{}")
 		So(f.status, ShouldEqual, http.StatusBadGateway)
 		So(f.failure.Outcome, ShouldEqual, native.OutcomeUnknown)
-		So(ts.oracle.Runs(), ShouldEqual, runsBefore+1)
+		So(ts.oracle.RunCount(), ShouldEqual, runsBefore+1)
 		ts.send(d, http.MethodGet, "/intake/parcels/1", "")
-		So(ts.oracle.Runs(), ShouldEqual, runsBefore+3) // the GET ran twice
+		So(ts.oracle.RunCount(), ShouldEqual, runsBefore+3) // the GET ran twice
 	})
 }
--- a/io/process/native/retry_test.go
+++ b/io/process/native/retry_test.go
@@ -41,7 +41,7 @@
 // closes the connection before the end of the response. It returns the holder.
 func (ts *testSite) sendBookingAndLoseResponse(d *native.Daemon) (holder string) {
 	holder = ts.send(d, http.MethodGet, benchPath, "").answer.Server
-	ts.servers[holder].SetFaults(server.Faults{CutAnswers: 1}) // a share: all responses are cut
+	ts.servers[holder].SetFaults(server.Faults{TruncatedShare: 1}) // a share: all responses are cut
 	So(ts.sendBooking(d).failure.Outcome, ShouldEqual, native.OutcomeUnknown)
 	ts.servers[holder].SetFaults(server.Faults{})
 	return holder
@@ -100,7 +100,7 @@
 		ts := newTestSite(t, 2)
 		So(ts.becomesReady(ts.daemons[0]) && ts.becomesReady(ts.daemons[1]), ShouldBeTrue)
 		for _, v := range ts.servers {
-			v.SetFaults(server.Faults{CutAnswers: 1})
+			v.SetFaults(server.Faults{TruncatedShare: 1})
 		}
 		requestLabel := func(d *native.Daemon, id string) response {
 			return ts.sendWithID(d, http.MethodPost, id, "/labels/print", "{}")
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -1,7 +1,8 @@
-// Package load stands in for callers: an open-loop stream of lookups and
-// bookings over skewed keys, through whichever entry hosts the balancer has.
-// Latency counts from the moment a request was due, so that a system that
-// stalls does not hide it by slowing the callers down.
+// Package load is a load generator that stands in for callers. It sends an open-loop
+// stream of idempotent and non-idempotent requests, with a skewed distribution of keys,
+// through the entry hosts that a balancer picks. Latency is measured from the time at
+// which a request was due, so that a system that stalls can't hide it by slowing the
+// callers down (coordinated omission).
 //
 // # Usage
 //
@@ -9,8 +10,8 @@
 //	g.Run(ctx)
 //	r := g.Result()
 //
-// What goes wrong is counted in the Result and reported to the oracle; nothing
-// fails.
+// Its functions do not fail: failures of requests are counted in the Result and reported
+// to the recorder.
 package load
 
 import (
@@ -34,299 +35,308 @@
 	"catkinstep/io/standin/oracle"
 )
 
-// Balancer names a live entry host; it stands in for the platform's.
+// Balancer picks the entry host for a request, as the platform's load balancer does.
 type Balancer interface {
-	// Pick returns the address of an entry host.
+	// Pick returns the address of an entry host. Different n spread requests over the hosts.
 	Pick(n uint64) string
-	// Killed tells whether an entry host was killed, not stopped as planned,
+	// WasKilled reports whether an entry host was killed rather than shut down gracefully,
 	// so that its callers' connections may have broken.
-	Killed(address string) bool
+	WasKilled(address string) bool
 }
 
-// Judge learns what callers got; oracle.Oracle is one.
-type Judge interface{ Got(oracle.Reply) }
+// Recorder receives the final result of each request. It is implemented by oracle.Oracle.
+type Recorder interface{ RecordResult(oracle.CallerResult) }
 
-// Config describes one service's callers.
+// Config describes the load on one service.
 type Config struct {
 	Service string
-	// Path makes a request's path from its key.
+	// Path is the path of requests; KEY in it is replaced by the key.
 	Path string
-	// Rate is requests a second; Bookings the share that must run at most once.
-	Rate     float64
-	Bookings float64
-	// Keys is the number of keys; Skew their Zipf exponent, above 1, or 0 for even.
+	// Rate is the number of requests per second.
+	Rate float64
+	// NonIdempotentShare is the share of requests that must run at most once.
+	NonIdempotentShare float64
+	// Keys is the number of keys.
 	Keys uint64
-	Skew float64
-	// RunsOnce means that a booking is safely sent again under its id.
-	RunsOnce bool
-	// Timeout is what callers allow.
+	// ZipfExponent sets the Zipf distribution of keys; up to 1, the distribution is uniform.
+	ZipfExponent float64
+	// DedupByID is set if the service recognises a request that is sent again under its ID, so
+	// that a non-idempotent request can be retried safely.
+	DedupByID bool
+	// Timeout is how long callers wait for a response; default 2s.
 	Timeout time.Duration
 	Seed    uint64
 }
 
-// Result is what one service's callers saw.
+// Result is what the callers of one service saw. Latencies are in microseconds.
 type Result struct {
-	Service       string
-	Requests      uint64
-	Answered      uint64
-	NotRun        uint64
-	Unknown       uint64
-	Resent        uint64
-	Codes         map[string]uint64
-	All           *hdrhistogram.Histogram // of all lookups; one not answered counts as the time limit
-	Latency       *hdrhistogram.Histogram // of lookups that were answered, in microseconds
-	Bookings      *hdrhistogram.Histogram // of bookings that were answered
-	LongestOutage time.Duration           // the longest time that a key was asked for and not served
+	Service              string
+	Requests             uint64
+	Answered             uint64
+	NotRun               uint64
+	Unknown              uint64
+	Retries              uint64
+	ErrorCodes           map[string]uint64
+	AllLatency           *hdrhistogram.Histogram // of all idempotent requests; one without an answer counts at least as the timeout
+	AnsweredLatency      *hdrhistogram.Histogram // of answered idempotent requests
+	NonIdempotentLatency *hdrhistogram.Histogram // of answered non-idempotent requests
+	LongestOutage        time.Duration           // longest time that requests for a key range failed
 }
 
-// Generator makes the load.
+// Generator sends the requests to one service.
 type Generator struct {
-	config   Config
-	balancer Balancer
-	judge    Judge
-	client   *http.Client
-	made     uint64 // requests ever made: an id is never used for another one
+	config      Config
+	balancer    Balancer
+	recorder    Recorder
+	client      *http.Client
+	lastRequest uint64 // not cleared by Reset, so that no request ID is used twice
 
-	mu      sync.Mutex
-	result  Result
-	failing map[int]time.Time
+	mu           sync.Mutex
+	result       Result
+	failingSince map[int]time.Time
 }
 
-// Histogram bounds: 1 microsecond to 60 s with three digits.
 const (
-	histogramMost   = 60_000_000
-	histogramDigits = 3
-	resends         = 3
+	// Latencies are recorded from 1 microsecond up to 60 s with three significant digits.
+	maxLatencyMicros = 60_000_000
+	histogramDigits  = 3
+	maxAttempts      = 3
 )
 
-// New returns a Generator.
-func New(c Config, b Balancer, j Judge) *Generator {
+// New returns a Generator that does not run yet.
+func New(c Config, b Balancer, r Recorder) *Generator {
 	if c.Timeout == 0 {
 		c.Timeout = 2 * time.Second
 	}
 	g := &Generator{
-		config: c, balancer: b, judge: j, failing: map[int]time.Time{},
+		config: c, balancer: b, recorder: r, failingSince: map[int]time.Time{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}},
 	}
 	g.Reset()
 	return g
 }
 
-// Reset forgets what was counted, so that a part of a run can be measured.
+// Reset clears the result, so that a part of a run can be measured.
 func (g *Generator) Reset() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result = Result{
-		Service: g.config.Service, Codes: map[string]uint64{},
-		All:      hdrhistogram.New(1, histogramMost, histogramDigits),
-		Latency:  hdrhistogram.New(1, histogramMost, histogramDigits),
-		Bookings: hdrhistogram.New(1, histogramMost, histogramDigits),
+		Service: g.config.Service, ErrorCodes: map[string]uint64{},
+		AllLatency:           hdrhistogram.New(1, maxLatencyMicros, histogramDigits),
+		AnsweredLatency:      hdrhistogram.New(1, maxLatencyMicros, histogramDigits),
+		NonIdempotentLatency: hdrhistogram.New(1, maxLatencyMicros, histogramDigits),
 	}
 }
 
-// Result returns what was counted since the last Reset.
+// Result returns a copy of the result since the last Reset.
 func (g *Generator) Result() Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.result
-	r.All = hdrhistogram.Import(r.All.Export())
-	r.Latency = hdrhistogram.Import(r.Latency.Export())
-	r.Bookings = hdrhistogram.Import(r.Bookings.Export())
-	r.Codes = map[string]uint64{}
-	for k, v := range g.result.Codes {
-		r.Codes[k] = v
+	r.AllLatency = hdrhistogram.Import(r.AllLatency.Export())
+	r.AnsweredLatency = hdrhistogram.Import(r.AnsweredLatency.Export())
+	r.NonIdempotentLatency = hdrhistogram.Import(r.NonIdempotentLatency.Export())
+	r.ErrorCodes = map[string]uint64{}
+	for k, v := range g.result.ErrorCodes {
+		r.ErrorCodes[k] = v
 	}
 	return r
 }
 
-// Run makes requests until the context ends, and waits for their answers.
+// Run sends requests until the context ends, and waits for their results.
 func (g *Generator) Run(ctx context.Context) {
-	random := rand.New(rand.NewPCG(g.config.Seed, 11))
+	rng := rand.New(rand.NewPCG(g.config.Seed, 11))
 	var zipf *rand.Zipf
-	if g.config.Skew > 1 {
-		zipf = rand.NewZipf(random, g.config.Skew, 8, g.config.Keys-1)
+	if g.config.ZipfExponent > 1 {
+		zipf = rand.NewZipf(rng, g.config.ZipfExponent, 8, g.config.Keys-1)
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	due := time.Now()
+	dueAt := time.Now()
 	for {
-		g.made++
-		n := g.made
-		due = due.Add(time.Duration(random.ExpFloat64() / g.config.Rate * float64(time.Second)))
-		if !until(ctx, due) {
+		g.lastRequest++
+		number := g.lastRequest
+		dueAt = dueAt.Add(time.Duration(rng.ExpFloat64() / g.config.Rate * float64(time.Second)))
+		if !waitUntil(ctx, dueAt) {
 			return
 		}
 		k := uint64(0)
 		if zipf != nil {
 			k = zipf.Uint64()
 		} else {
-			k = random.Uint64N(g.config.Keys)
+			k = rng.Uint64N(g.config.Keys)
 		}
 		call := call{
-			id: fmt.Sprintf("%s-%d-%d", g.config.Service, g.config.Seed, n), due: due, n: n,
-			key: fmt.Sprintf("%s-%d", g.config.Service, k), booking: random.Float64() < g.config.Bookings,
+			id: fmt.Sprintf("%s-%d-%d", g.config.Service, g.config.Seed, number), dueAt: dueAt, number: number,
+			key: fmt.Sprintf("%s-%d", g.config.Service, k), nonIdempotent: rng.Float64() < g.config.NonIdempotentShare,
 		}
-		wg.Go(func() { g.make(call) })
+		wg.Go(func() { g.send(call) })
 	}
 }
 
-// call is one request of a caller, with all its resends.
+// call is one request of a caller, with all its attempts.
 type call struct {
-	id, key string
-	n       uint64
-	booking bool
-	due     time.Time
+	id, key       string
+	number        uint64
+	nonIdempotent bool
+	dueAt         time.Time
 }
 
-// outcome is what one try brought.
-type outcome struct {
-	reply oracle.Reply
-	code  string
-	again bool
+// attemptResult is the result of one attempt. The code says why there was no response.
+type attemptResult struct {
+	callerResult oracle.CallerResult
+	code         string
+	retry        bool
 }
 
-func (g *Generator) make(c call) {
-	var o outcome
-	unknown := false // whether an earlier try may have run
-	for try := range uint64(resends) {
-		o = g.try(c, try)
-		unknown = unknown || o.reply.Outcome == "unknown"
-		if !o.again {
+func (g *Generator) send(c call) {
+	var last attemptResult
+	mayHaveRun := false // an attempt may have run
+	for attempt := range uint64(maxAttempts) {
+		last = g.attempt(c, attempt)
+		mayHaveRun = mayHaveRun || last.callerResult.Outcome == "unknown"
+		if !last.retry {
 			break
 		}
 		g.mu.Lock()
-		g.result.Resent++
+		g.result.Retries++
 		g.mu.Unlock()
 	}
-	if unknown && o.reply.Outcome == "notRun" {
-		o.reply.Outcome = "unknown" // it is the last try that did not run
+	if mayHaveRun && last.callerResult.Outcome == "notRun" {
+		last.callerResult.Outcome = "unknown" // only the last attempt is known not to have run
 	}
-	took := time.Since(c.due)
-	g.judge.Got(o.reply)
+	latency := time.Since(c.dueAt)
+	g.recorder.RecordResult(last.callerResult)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := &g.result
 	r.Requests++
-	if !c.booking {
-		all := took
-		if o.reply.Outcome != "answered" {
-			all = max(took, g.config.Timeout)
+	if !c.nonIdempotent {
+		counted := latency
+		if last.callerResult.Outcome != "answered" {
+			counted = max(latency, g.config.Timeout)
 		}
-		_ = r.All.RecordValue(min(max(1, all.Microseconds()), histogramMost))
+		_ = r.AllLatency.RecordValue(min(max(1, counted.Microseconds()), maxLatencyMicros))
 	}
-	switch o.reply.Outcome {
+	switch last.callerResult.Outcome {
 	case "answered":
 		r.Answered++
-		h := r.Latency
-		if c.booking {
-			h = r.Bookings
+		h := r.AnsweredLatency
+		if c.nonIdempotent {
+			h = r.NonIdempotentLatency
 		}
-		_ = h.RecordValue(min(max(1, took.Microseconds()), histogramMost))
-		if since, ok := g.failing[bucketOf(c.key)]; ok {
+		_ = h.RecordValue(min(max(1, latency.Microseconds()), maxLatencyMicros))
+		if since, ok := g.failingSince[bucketOf(c.key)]; ok {
 			r.LongestOutage = max(r.LongestOutage, time.Since(since))
-			delete(g.failing, bucketOf(c.key))
+			delete(g.failingSince, bucketOf(c.key))
 		}
-		r.LongestOutage = max(r.LongestOutage, longWait(took))
+		r.LongestOutage = max(r.LongestOutage, outageFromLatency(latency))
 	case "notRun":
 		r.NotRun++
-		r.Codes[o.code]++
-		g.fails(c, o.code)
+		r.ErrorCodes[last.code]++
+		g.recordFailure(c, last.code)
 	default:
 		r.Unknown++
-		r.Codes[o.code]++
-		g.fails(c, o.code)
+		r.ErrorCodes[last.code]++
+		g.recordFailure(c, last.code)
 	}
 }
 
-// fails notes that the keys of a bucket were not served. Too little room is no
-// outage, and a lost answer says nothing of whether others are served.
-func (g *Generator) fails(c call, code string) {
+// recordFailure starts an outage of the key's bucket, unless the code says that there is none:
+// a lack of capacity is no outage, and a lost response does not mean that other requests fail.
+func (g *Generator) recordFailure(c call, code string) {
 	switch code {
 	case "allBusy", "serverNotHoldingOrFull", "coldServer", "deadlineTooNear", "attemptFailed", "hostLost":
 		return
 	}
-	if _, ok := g.failing[bucketOf(c.key)]; !ok {
-		g.failing[bucketOf(c.key)] = c.due
+	if _, ok := g.failingSince[bucketOf(c.key)]; !ok {
+		g.failingSince[bucketOf(c.key)] = c.dueAt
 	}
 }
 
-// buckets is how finely outages are counted.
-const buckets = 256
+// outageBuckets is the number of key ranges for which outages are measured separately.
+const outageBuckets = 256
 
-func bucketOf(key string) int { return grant.HashKey(key) * buckets / (grant.LastKey + 1) }
+func bucketOf(key string) int { return grant.HashKey(key) * outageBuckets / (grant.LastKey + 1) }
 
-// longWait counts a wait as an outage when no queue explains it.
-func longWait(took time.Duration) time.Duration {
-	if took < 250*time.Millisecond {
+// outageFromLatency returns the latency of an answered request if it counts as an outage, and
+// zero otherwise. Below 250 ms, queueing explains the latency.
+func outageFromLatency(latency time.Duration) time.Duration {
+	if latency < 250*time.Millisecond {
 		return 0
 	}
-	return took
+	return latency
 }
 
-func (g *Generator) try(c call, try uint64) outcome {
-	host := g.balancer.Pick(c.n + try*7919)
+func (g *Generator) attempt(c call, attempt uint64) attemptResult {
+	host := g.balancer.Pick(c.number + attempt*7919)
 	ctx, cancel := context.WithTimeout(context.Background(), g.config.Timeout+time.Second)
 	defer cancel()
 	method, body := http.MethodGet, ""
-	if c.booking {
+	if c.nonIdempotent {
 		method, body = http.MethodPost, "{}"
 	}
-	path := "http://" + host + "/" + g.config.Service + strings.ReplaceAll(g.config.Path, "KEY", c.key)
-	req, err := http.NewRequestWithContext(ctx, method, path, io.NopCloser(bytes.NewReader([]byte(body))))
+	url := "http://" + host + "/" + g.config.Service + strings.ReplaceAll(g.config.Path, "KEY", c.key)
+	req, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader([]byte(body))))
 	if err != nil {
-		return outcome{reply: oracle.Reply{ID: c.id, Outcome: "notRun"}, code: err.Error()}
+		return attemptResult{callerResult: oracle.CallerResult{ID: c.id, Outcome: "notRun"}, code: err.Error()}
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Catkinstep-Request-Id", c.id)
 	req.Header.Set("Catkinstep-Timeout", g.config.Timeout.String())
 	resp, err := g.client.Do(req)
 	if err != nil {
-		return g.broken(c, host, err)
+		return g.connectionFailed(c, host, err)
 	}
 	defer resp.Body.Close() //nolint:errcheck // all that counts has been read
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return g.broken(c, host, err)
+		return g.connectionFailed(c, host, err)
 	}
-	o := read(c, resp, data)
-	o.again = c.booking && g.config.RunsOnce && o.reply.Outcome == "unknown" && o.code != "outcomeLost"
-	return o
+	result := parseResponse(c, resp, data)
+	result.retry = c.nonIdempotent && g.config.DedupByID && result.callerResult.Outcome == "unknown" && result.code != "outcomeLost"
+	return result
 }
 
-// broken is a connection that brought no answer. That of a killed host is made
-// up for by sending again, as callers do; that of any other was cut.
-func (g *Generator) broken(c call, host string, err error) outcome {
+// connectionFailed returns the result of an attempt whose connection brought no response. If
+// the host refused the connection or was killed, the request is retried if that is safe, as
+// callers do. If another host's connection broke, that host lost the request, unless the
+// attempt timed out.
+func (g *Generator) connectionFailed(c call, host string, err error) attemptResult {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	var timeout net.Error
-	late := errors.As(err, &timeout) && timeout.Timeout()
-	if refused || g.balancer.Killed(host) {
-		// A booking that was read may have run. Where it would run a second time only its
-		// caller can decide to book anew.
-		reply := oracle.Reply{ID: c.id, Outcome: "unknown"}
+	timedOut := errors.As(err, &timeout) && timeout.Timeout()
+	if refused || g.balancer.WasKilled(host) {
+		// Unless the connection was refused, a non-idempotent request may have run. If the
+		// service does not recognise its ID, a retry could run it a second time.
+		callerResult := oracle.CallerResult{ID: c.id, Outcome: "unknown"}
 		if refused {
-			reply.Outcome = "notRun"
+			callerResult.Outcome = "notRun"
 		}
-		return outcome{reply: reply, code: "hostLost", again: refused || !c.booking || g.config.RunsOnce}
+		return attemptResult{callerResult: callerResult, code: "hostLost", retry: refused || !c.nonIdempotent || g.config.DedupByID}
 	}
-	return outcome{reply: oracle.Reply{ID: c.id, Outcome: "unknown", Cut: !late}, code: "noAnswer"}
+	return attemptResult{callerResult: oracle.CallerResult{ID: c.id, Outcome: "unknown", ConnectionLost: !timedOut}, code: "noAnswer"}
 }
 
-func read(c call, resp *http.Response, data []byte) outcome {
-	reply := oracle.Reply{ID: c.id, Outcome: resp.Header.Get("Catkinstep-Outcome")}
-	if reply.Outcome == "answered" {
+// parseResponse returns the result of a response. An answered request must get its own ID and
+// key back.
+func parseResponse(c call, resp *http.Response, data []byte) attemptResult {
+	callerResult := oracle.CallerResult{ID: c.id, Outcome: resp.Header.Get("Catkinstep-Outcome")}
+	if callerResult.Outcome == "answered" {
 		var a struct {
 			ID, Path string
 		}
-		reply.Wrong = json.Unmarshal(data, &a) != nil || a.ID != c.id || !strings.Contains(a.Path, c.key)
-		return outcome{reply: reply}
+		callerResult.WrongResponse = json.Unmarshal(data, &a) != nil || a.ID != c.id || !strings.Contains(a.Path, c.key)
+		return attemptResult{callerResult: callerResult}
 	}
 	var f struct{ Code string }
 	_ = json.Unmarshal(data, &f)
-	return outcome{reply: reply, code: f.Code}
+	return attemptResult{callerResult: callerResult, code: f.Code}
 }
 
-func until(ctx context.Context, due time.Time) bool {
-	d := time.Until(due)
+// waitUntil blocks until the deadline. It returns false if the context ends first.
+func waitUntil(ctx context.Context, deadline time.Time) bool {
+	d := time.Until(deadline)
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/io/standin/oracle/oracle.go
+++ b/io/standin/oracle/oracle.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// outGrace is how long after the operator's command new work may still begin.
-const outGrace = 2 * time.Second
+// exclusionGrace is how long after the operator's command returns an excluded server may still
+// start requests.
+const exclusionGrace = 2 * time.Second
 
-// maxFindings bounds the findings that are kept as text.
+// maxFindings limits the findings that a verdict describes.
 const maxFindings = 20
 
 // Run is one execution of a request by a backend server.
@@ -23,33 +24,41 @@
 	Key        string    `json:"key"`
 	Idempotent bool      `json:"idempotent"`
 	Start      time.Time `json:"start"`
-	// End is when it could have no effect any more.
+	// End is the time from which the run could have no effect any more.
 	End time.Time `json:"end"`
-	// Overload is set when the server already ran all that it bore.
+	// Overload is set if the server received the request beyond its capacity. Such a Run stands
+	// for the arrival, not for an execution.
 	Overload bool `json:"overload"`
 }
 
-// Reply is the final answer that a caller got.
-type Reply struct {
+// CallerResult is the final result of a request, as its caller saw it.
+type CallerResult struct {
 	ID string
 	// Outcome is answered, notRun or unknown.
 	Outcome string
-	// Wrong is set when the answer was another request's, or not whole.
-	Wrong bool
-	// Cut is set when the connection broke without any answer.
-	Cut bool
+	// WrongResponse is set if the response was another request's, or malformed.
+	WrongResponse bool
+	// ConnectionLost is set if the connection to a live host broke without a response.
+	ConnectionLost bool
 }
 
-// Verdict counts what must never happen.
+// Verdict counts the violations of what the system guarantees.
 type Verdict struct {
-	TwoOwners       int `json:"twoOwners"`
-	DoubleRun       int `json:"doubleRun"`
-	WrongAnswer     int `json:"wrongAnswer"`
-	FalseNotRun     int `json:"falseNotRun"`
-	Overload        int `json:"overload"`
+	// TwoOwners counts runs on a key that began while another server ran one on it.
+	TwoOwners int `json:"twoOwners"`
+	// DoubleRun counts non-idempotent requests that ran more than once.
+	DoubleRun int `json:"doubleRun"`
+	// WrongAnswer counts responses that were another request's, or malformed.
+	WrongAnswer int `json:"wrongAnswer"`
+	// FalseNotRun counts requests that ran although the response said that they had not.
+	FalseNotRun int `json:"falseNotRun"`
+	// Overload counts requests that a server received beyond its capacity.
+	Overload int `json:"overload"`
+	// NewWorkAfterOut counts runs that began on a server while it was excluded.
 	NewWorkAfterOut int `json:"newWorkAfterOut"`
-	CutRequest      int `json:"cutRequest"`
-	// Findings describe the first of them.
+	// CutRequest counts requests whose connection broke without a response.
+	CutRequest int `json:"cutRequest"`
+	// Findings describe the first maxFindings violations.
 	Findings []string `json:"findings,omitempty"`
 }
 
@@ -58,97 +67,98 @@
 	return v.TwoOwners + v.DoubleRun + v.WrongAnswer + v.FalseNotRun + v.Overload + v.NewWorkAfterOut + v.CutRequest
 }
 
-// Oracle collects what happened.
+// Oracle records runs, results and exclusions, and checks them against each other.
 type Oracle struct {
-	mu      sync.Mutex
-	runs    []Run
-	replies []Reply
-	outs    []out
+	mu         sync.Mutex
+	runs       []Run
+	results    []CallerResult
+	exclusions []exclusion
 }
 
-type out struct {
+// exclusion is the time during which a data centre or a server was out of service.
+type exclusion struct {
 	dataCentre, server string
-	from, to           time.Time
+	startedAt, endedAt time.Time
 }
 
-// New returns an Oracle that has seen nothing.
+// New returns an Oracle without records.
 func New() *Oracle { return &Oracle{} }
 
-// Ran notes an execution when it has ended.
-func (o *Oracle) Ran(r Run) {
+// RecordRun records an execution that has ended.
+func (o *Oracle) RecordRun(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runs = append(o.runs, r)
 }
 
-// Got notes what a caller got in the end.
-func (o *Oracle) Got(t Reply) {
+// RecordResult records the final result of a request.
+func (o *Oracle) RecordResult(r CallerResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.replies = append(o.replies, t)
+	o.results = append(o.results, r)
 }
 
-// Out notes that the operator's command to take out a data centre or a server
+// RecordExclusion records that the operator's command to exclude a data centre or a server
 // has returned.
-func (o *Oracle) Out(dataCentre, server string, at time.Time) {
+func (o *Oracle) RecordExclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.outs = append(o.outs, out{dataCentre: dataCentre, server: server, from: at})
+	o.exclusions = append(o.exclusions, exclusion{dataCentre: dataCentre, server: server, startedAt: at})
 }
 
-// In notes that the operator is about to take it in again.
-func (o *Oracle) In(dataCentre, server string, at time.Time) {
+// RecordInclusion records that the operator is about to end an exclusion.
+func (o *Oracle) RecordInclusion(dataCentre, server string, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i := range o.outs {
-		if o.outs[i].dataCentre == dataCentre && o.outs[i].server == server && o.outs[i].to.IsZero() {
-			o.outs[i].to = at
+	for i := range o.exclusions {
+		if o.exclusions[i].dataCentre == dataCentre && o.exclusions[i].server == server && o.exclusions[i].endedAt.IsZero() {
+			o.exclusions[i].endedAt = at
 		}
 	}
 }
 
-// Runs returns the number of executions seen.
-func (o *Oracle) Runs() int {
+// RunCount returns the number of recorded runs.
+func (o *Oracle) RunCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.runs)
 }
 
-// Verdict judges all that was noted so far.
+// Verdict checks all records so far.
 func (o *Oracle) Verdict() Verdict {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var v Verdict
-	o.owners(&v)
-	ran := o.doubles(&v)
+	o.checkOwnership(&v)
+	runsByID := o.checkDuplicates(&v)
 	for _, r := range o.runs {
 		if r.Overload {
 			v.Overload++
-			v.find("%s was given %s beyond what it bears", r.Server, r.ID)
+			v.addFinding("%s received request %s beyond its capacity", r.Server, r.ID)
 		}
-		if o.wasOut(r) {
+		if o.startedWhileExcluded(r) {
 			v.NewWorkAfterOut++
-			v.find("%s in %s began %s after it was out", r.Server, r.DataCentre, r.ID)
+			v.addFinding("%s in %s started request %s while excluded", r.Server, r.DataCentre, r.ID)
 		}
 	}
-	for _, t := range o.replies {
+	for _, result := range o.results {
 		switch {
-		case t.Cut:
+		case result.ConnectionLost:
 			v.CutRequest++
-			v.find("the caller of %s got no answer at all", t.ID)
-		case t.Wrong:
+			v.addFinding("the connection of request %s broke without a response", result.ID)
+		case result.WrongResponse:
 			v.WrongAnswer++
-			v.find("the caller of %s got another answer, or half of one", t.ID)
-		case t.Outcome == "notRun" && ran[t.ID] > 0:
+			v.addFinding("request %s got a wrong or malformed response", result.ID)
+		case result.Outcome == "notRun" && runsByID[result.ID] > 0:
 			v.FalseNotRun++
-			v.find("%s ran, and its caller was answered that it did not", t.ID)
+			v.addFinding("request %s ran, but its response said that it did not", result.ID)
 		}
 	}
 	return v
 }
 
-// owners finds keys that two servers worked on at the same time.
-func (o *Oracle) owners(v *Verdict) {
+// checkOwnership finds keys on which two servers ran requests at the same time.
+func (o *Oracle) checkOwnership(v *Verdict) {
 	byKey := map[string][]Run{}
 	for _, r := range o.runs {
 		if r.Key != "" {
@@ -157,68 +167,70 @@
 	}
 	for key, runs := range byKey {
 		slices.SortFunc(runs, func(a, b Run) int { return a.Start.Compare(b.Start) })
-		// last holds, by server, the latest end so far.
-		last := map[string]time.Time{}
+		// lastEnd is the latest end of a run so far, by server.
+		lastEnd := map[string]time.Time{}
 		for _, r := range runs {
-			for server, end := range last {
+			for server, end := range lastEnd {
 				if server != r.Server && end.After(r.Start) {
 					v.TwoOwners++
-					v.find("%s: %s began %s while %s was still at work", key, r.Server, r.ID, server)
+					v.addFinding("key %s: %s started request %s while %s was running another", key, r.Server, r.ID, server)
 					break
 				}
 			}
-			if r.End.After(last[r.Server]) {
-				last[r.Server] = r.End
+			if r.End.After(lastEnd[r.Server]) {
+				lastEnd[r.Server] = r.End
 			}
 		}
 	}
 }
 
-func (o *Oracle) doubles(v *Verdict) map[string]int {
-	ran := map[string]int{}
+// checkDuplicates finds non-idempotent requests that ran more than once. It returns the number
+// of runs by request ID.
+func (o *Oracle) checkDuplicates(v *Verdict) map[string]int {
+	runsByID := map[string]int{}
 	sorted := slices.Clone(o.runs)
 	slices.SortFunc(sorted, func(a, b Run) int { return cmp.Compare(a.ID, b.ID) })
 	for _, r := range sorted {
-		ran[r.ID]++
-		if !r.Idempotent && ran[r.ID] == 2 {
+		runsByID[r.ID]++
+		if !r.Idempotent && runsByID[r.ID] == 2 {
 			v.DoubleRun++
-			v.find("%s ran twice, the second time at %s", r.ID, r.Server)
+			v.addFinding("request %s ran twice, the second time on %s", r.ID, r.Server)
 		}
 	}
-	return ran
+	return runsByID
 }
 
-func (o *Oracle) wasOut(r Run) bool {
-	for _, x := range o.outs {
-		if x.dataCentre != "" && x.dataCentre != r.DataCentre || x.server != "" && x.server != r.Server {
+func (o *Oracle) startedWhileExcluded(r Run) bool {
+	for _, e := range o.exclusions {
+		if e.dataCentre != "" && e.dataCentre != r.DataCentre || e.server != "" && e.server != r.Server {
 			continue
 		}
-		if r.Start.After(x.from.Add(outGrace)) && (x.to.IsZero() || r.Start.Before(x.to)) {
+		if r.Start.After(e.startedAt.Add(exclusionGrace)) && (e.endedAt.IsZero() || r.Start.Before(e.endedAt)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *Verdict) find(format string, args ...any) {
+func (v *Verdict) addFinding(format string, args ...any) {
 	if len(v.Findings) < maxFindings {
 		v.Findings = append(v.Findings, fmt.Sprintf(format, args...))
 	}
 }
 
-// Imbalance returns the busiest server's runs over the mean of a service's
-// servers, for runs that began within a span.
+// Imbalance returns the number of runs of the busiest server divided by the mean of all
+// servers of a service. Only runs that began between from and to count.
 func (o *Oracle) Imbalance(service string, from, to time.Time, servers int) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	count, total, most := map[string]int{}, 0, 0
+	runsByServer, total, most := map[string]int{}, 0, 0
 	for _, r := range o.runs {
 		if r.Service != service || r.Overload || r.Start.Before(from) || r.Start.After(to) {
 			continue
 		}
-		count[r.Server]++
+		runsByServer[r.Server]++
 		total++
-		most = max(most, count[r.Server])
+		most = max(most, runsByServer[r.Server])
 	}
 	if total == 0 || servers == 0 {
 		return 0
@@ -226,30 +238,31 @@
 	return float64(most) * float64(servers) / float64(total)
 }
 
-// ExtraWork returns the share of a service's runs since a time that were not
-// the first of their request.
-func (o *Oracle) ExtraWork(service string, from time.Time) float64 {
+// DuplicateRunShare returns the share of a service's runs that were not the first of their
+// request. Only runs that began at from or later count.
+func (o *Oracle) DuplicateRunShare(service string, from time.Time) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen, total, extra := map[string]bool{}, 0, 0
+	seen, total, duplicates := map[string]bool{}, 0, 0
 	for _, r := range o.runs {
 		if r.Service != service || r.Overload || r.Start.Before(from) {
 			continue
 		}
 		total++
 		if seen[r.ID] {
-			extra++
+			duplicates++
 		}
 		seen[r.ID] = true
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(extra) / float64(total)
+	return float64(duplicates) / float64(total)
 }
 
-// LastStart returns how long after a time the last run began in a data centre.
-func (o *Oracle) LastStart(dataCentre string, from time.Time) time.Duration {
+// LastStartAfter returns how long after from the last run began in a data centre; zero if none
+// began after it.
+func (o *Oracle) LastStartAfter(dataCentre string, from time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last := time.Duration(0)
--- a/io/standin/ports/ports.go
+++ b/io/standin/ports/ports.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// lowest and highest bound the ports. They lie below those that systems give to
-// outgoing connections and to listeners that name no port: one of these could take the
-// port between the check and its use.
+// Ports are chosen from lowestPort up to, but not including, highestPort. The range lies below
+// the ephemeral ports, which the system gives to outgoing connections and to listeners on port 0:
+// one of these could take the port between the check and its use.
 const (
-	lowest  = 10_000
-	highest = 32_000
+	lowestPort  = 10_000
+	highestPort = 32_000
 )
 
 // Free returns a loopback address on which nothing listens.
 func Free(t testing.TB) string {
 	t.Helper()
 	for range 100 {
-		address := fmt.Sprintf("127.0.0.1:%d", lowest+rand.IntN(highest-lowest))
+		address := fmt.Sprintf("127.0.0.1:%d", lowestPort+rand.IntN(highestPort-lowestPort))
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
@@ -29,6 +29,6 @@
 		}
 		return address
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no free port found")
 	return ""
 }
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -9,21 +9,21 @@
 	"catkinstep/core/version/grant"
 )
 
-// Churn follows the holders of keys in the platform's objects, by buckets of
-// keys, and counts how often one server took over from another.
+// Churn polls the table of keys that the leader stores on the platform, and counts how often a
+// bucket of keys moved from one server to another. It judges a bucket by its first key.
 type Churn struct {
-	stage *Stage
+	cluster *Cluster
 
-	mu    sync.Mutex
-	owner map[string][]string // by service
-	moves map[string]int
-	least map[string]int
+	mu       sync.Mutex
+	owners   map[string][]string // address of each bucket's holder, by service
+	moves    map[string]int
+	minMoves map[string]int
 }
 
-// NewChurn begins to follow until the context ends.
-func NewChurn(ctx context.Context, r *Stage) *Churn {
-	c := &Churn{stage: r, owner: map[string][]string{}, moves: map[string]int{}, least: map[string]int{}}
-	c.look()
+// NewChurn starts a Churn, which polls until the context ends.
+func NewChurn(ctx context.Context, cluster *Cluster) *Churn {
+	c := &Churn{cluster: cluster, owners: map[string][]string{}, moves: map[string]int{}, minMoves: map[string]int{}}
+	c.poll()
 	go func() {
 		t := time.NewTicker(20 * time.Millisecond)
 		defer t.Stop()
@@ -32,61 +32,62 @@
 			case <-ctx.Done():
 				return
 			case <-t.C:
-				c.look()
+				c.poll()
 			}
 		}
 	}()
 	return c
 }
 
-// Expect adds the moves that an event needs at least: each bucket of these
-// servers has to move, times the number of ways.
-func (c *Churn) Expect(service string, servers []string, ways int) {
+// ExpectMoves adds to the minimum the moves that an event makes necessary: movesPerBucket for
+// each bucket that these servers hold now. That is 2 where the buckets leave and come back.
+func (c *Churn) ExpectMoves(service string, servers []string, movesPerBucket int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.owner[service] {
+	for _, o := range c.owners[service] {
 		for _, s := range servers {
 			if o == s {
-				c.least[service] += ways
+				c.minMoves[service] += movesPerBucket
 			}
 		}
 	}
 }
 
-// Moves returns the moves of a service's buckets so far, and the least possible.
-func (c *Churn) Moves(service string) (moves, least int) {
+// Moves returns the number of moves of a service's buckets so far, and the minimum that the
+// expected events make necessary.
+func (c *Churn) Moves(service string) (moves, minMoves int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.moves[service], c.least[service]
+	return c.moves[service], c.minMoves[service]
 }
 
-func (c *Churn) look() {
-	data, _ := c.stage.Store.Value(tableObject)
-	t, err := grant.Unmarshal(data)
+func (c *Churn) poll() {
+	data, _ := c.cluster.Store.Value(tableObject)
+	table, err := grant.Unmarshal(data)
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, share := range t.Services {
-		have := c.owner[share.Service]
-		if have == nil {
-			have = make([]string, keeper.Buckets)
-			c.owner[share.Service] = have
+	for _, share := range table.Services {
+		bucketOwners := c.owners[share.Service]
+		if bucketOwners == nil {
+			bucketOwners = make([]string, keeper.Buckets)
+			c.owners[share.Service] = bucketOwners
 		}
-		for bucket := range have {
-			r, ok := t.RangeOf(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
-			now := r.Holder.Address
-			if !ok || !r.IsOpen() || now == have[bucket] {
+		for bucket := range bucketOwners {
+			keyRange, ok := table.RangeOf(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
+			owner := keyRange.Holder.Address
+			if !ok || !keyRange.IsOpen() || owner == bucketOwners[bucket] {
 				continue
 			}
-			if have[bucket] != "" {
+			if bucketOwners[bucket] != "" {
 				c.moves[share.Service]++
 			}
-			have[bucket] = now
+			bucketOwners[bucket] = owner
 		}
 	}
 }
 
-// tableObject is the platform's object that holds the table of keys.
+// tableObject is the name of the platform's object that holds the table of keys.
 const tableObject = "tables/keys"
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -8,111 +8,112 @@
 	"catkinstep/io/process/native"
 )
 
-// Hosts returns the number of entry hosts.
-func (r *Stage) Hosts() int { return len(r.hosts) }
+// HostCount returns the number of entry hosts.
+func (c *Cluster) HostCount() int { return len(c.hosts) }
 
-// HostAddress returns the address for callers of an entry host.
-func (r *Stage) HostAddress(i int) string { return r.hosts[i].prefs.CallerAddress }
+// HostAddress returns the address on which an entry host serves callers.
+func (c *Cluster) HostAddress(i int) string { return c.hosts[i].prefs.CallerAddress }
 
-// Daemon returns an entry host's daemon; nil while it is down.
-func (r *Stage) Daemon(i int) *native.Daemon {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.hosts[i].daemon
+// Daemon returns an entry host's daemon; nil while it does not run.
+func (c *Cluster) Daemon(i int) *native.Daemon {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hosts[i].daemon
 }
 
-// HostsIn returns the numbers of a data centre's entry hosts.
-func (r *Stage) HostsIn(dataCentre string) []int {
-	var out []int
-	for i, h := range r.hosts {
+// HostsIn returns the indexes of a data centre's entry hosts.
+func (c *Cluster) HostsIn(dataCentre string) []int {
+	var indexes []int
+	for i, h := range c.hosts {
 		if h.prefs.DataCentre == dataCentre {
-			out = append(out, i)
+			indexes = append(indexes, i)
 		}
 	}
-	return out
+	return indexes
 }
 
-// StartDaemon starts an entry host's daemon from nothing.
-func (r *Stage) StartDaemon(i int) error {
-	h := r.hosts[i]
-	d, err := native.Start(h.prefs, native.WithLogger(r.log.With("host", h.prefs.MeshAddress)), native.WithOperatorHandler(admin.Handler))
+// StartDaemon starts an entry host's daemon, without any state of an earlier one.
+func (c *Cluster) StartDaemon(i int) error {
+	h := c.hosts[i]
+	d, err := native.Start(h.prefs, native.WithLogger(c.log.With("host", h.prefs.MeshAddress)), native.WithOperatorHandler(admin.Handler))
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	h.daemon = d
-	delete(r.killed, h.prefs.CallerAddress)
+	delete(c.killed, h.prefs.CallerAddress)
 	return nil
 }
 
-// KillDaemon ends a daemon at once, as SIGKILL does.
-func (r *Stage) KillDaemon(i int) {
-	r.mu.Lock()
-	h := r.hosts[i]
+// KillDaemon ends an entry host's daemon at once, as SIGKILL does.
+func (c *Cluster) KillDaemon(i int) {
+	c.mu.Lock()
+	h := c.hosts[i]
 	d := h.daemon
 	h.daemon = nil
-	r.killed[h.prefs.CallerAddress] = true
-	r.mu.Unlock()
+	c.killed[h.prefs.CallerAddress] = true
+	c.mu.Unlock()
 	if d != nil {
 		d.Kill()
 	}
 }
 
-// StopDaemon ends a daemon as planned.
-func (r *Stage) StopDaemon(i int) error {
-	r.mu.Lock()
-	h := r.hosts[i]
+// StopDaemon shuts an entry host's daemon down gracefully.
+func (c *Cluster) StopDaemon(i int) error {
+	c.mu.Lock()
+	h := c.hosts[i]
 	d := h.daemon
-	r.mu.Unlock()
+	c.mu.Unlock()
 	if d == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := d.Stop(ctx)
-	r.mu.Lock()
+	c.mu.Lock()
 	h.daemon = nil
-	r.mu.Unlock()
+	c.mu.Unlock()
 	return err
 }
 
-func (r *Stage) live() []*host {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []*host
-	for _, h := range r.hosts {
+func (c *Cluster) runningHosts() []*host {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var running []*host
+	for _, h := range c.hosts {
 		if h.daemon != nil {
-			out = append(out, h)
+			running = append(running, h)
 		}
 	}
-	return out
+	return running
 }
 
-// BareHosts returns how many entry hosts the plan has, running or not.
-func (r *Stage) BareHosts() int {
+// BaselineHosts returns the number of entry hosts in the plan. Unlike HostCount, it also counts
+// them if the cluster runs without daemons.
+func (c *Cluster) BaselineHosts() int {
 	n := 0
-	for _, h := range r.plan.Hosts {
+	for _, h := range c.plan.HostsPerDataCentre {
 		n += h
 	}
 	return n
 }
 
-// BareAddress returns an address for an entry host of the baseline.
-func (r *Stage) BareAddress(i int) string {
-	return fmt.Sprintf("127.%d.200.%d:%d", r.octet, i+1, callersPort)
+// BaselineAddress returns the address for an entry host of the baseline.
+func (c *Cluster) BaselineAddress(i int) string {
+	return fmt.Sprintf("127.%d.200.%d:%d", c.secondOctet, i+1, callersPort)
 }
 
-// Leads tells whether an entry host's daemon grants keys.
-func (r *Stage) Leads(i int) bool {
-	d := r.Daemon(i)
+// IsLeader reports whether an entry host's daemon is the leader, which grants keys.
+func (c *Cluster) IsLeader(i int) bool {
+	d := c.Daemon(i)
 	return d != nil && d.IsLeader()
 }
 
-// ControlBytes returns the bytes of control messages of a daemon so far, out and
-// in.
-func (r *Stage) ControlBytes(i int) int64 {
-	d := r.Daemon(i)
+// ControlBytes returns how many bytes of control messages an entry host's daemon has sent and
+// received; zero if it does not run.
+func (c *Cluster) ControlBytes(i int) int64 {
+	d := c.Daemon(i)
 	if d == nil {
 		return 0
 	}
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -6,9 +6,9 @@
 	"catkinstep/core/version/site"
 )
 
-// Lakeshore is the sharpening service's site at its size of today.
+// Lakeshore returns the site of the sharpening service, at its production size.
 func Lakeshore() Plan {
-	return plan("lakeshore",
+	return newPlan("lakeshore",
 		[]string{"duluth", "marquette", "toledo", "oswego"},
 		[]site.Service{
 			{Name: "intake", Slots: 3, MaxConnections: 110},
@@ -17,9 +17,9 @@
 		map[string]int{"intake": 12, "workshop": 15})
 }
 
-// GraniteHearth is the firewood platform's site at its size of today.
+// GraniteHearth returns the site of the firewood platform, at its production size.
 func GraniteHearth() Plan {
-	return plan("graniteHearth",
+	return newPlan("graniteHearth",
 		[]string{"barre", "keene", "camden", "rutland"},
 		[]site.Service{
 			{Name: "cord-orders", Slots: 4, MaxConnections: 50},
@@ -28,39 +28,39 @@
 		map[string]int{"cord-orders": 11, "haul-board": 13})
 }
 
-// plan spreads the servers over the data centres; nine entry hosts stand two a
-// data centre and one more in the first.
-func plan(name string, places []string, services []site.Service, servers map[string]int) Plan {
+// newPlan returns a plan that spreads the servers evenly over the data centres. Each data
+// centre has two entry hosts, and the first has one more.
+func newPlan(name string, dataCentres []string, services []site.Service, servers map[string]int) Plan {
 	s := site.Site{Name: name, Presets: []site.Preset{
 		{Name: "ordinary", Active: true, RetryShare: 0.1},
 		{Name: "peak", RetryShare: 0.05},
 		{Name: "maintenance", RetryShare: 0.1},
 	}}
 	hosts := map[string]int{}
-	for i, p := range places {
+	for i, p := range dataCentres {
 		s.DataCentres = append(s.DataCentres, site.DataCentre{Name: p})
 		hosts[p] = 2
 		if i == 0 {
 			hosts[p] = 3
 		}
 	}
-	next := 0
+	nextServer := 0
 	for _, v := range services {
 		v.DefaultTimeout = 2 * time.Second
 		v.ColdRate = 40
 		s.Services = append(s.Services, v)
 		for range servers[v.Name] {
-			d := &s.DataCentres[next%len(places)]
+			d := &s.DataCentres[nextServer%len(dataCentres)]
 			d.Servers = append(d.Servers, site.Server{Service: v.Name})
-			next++
+			nextServer++
 		}
 	}
 	data, err := s.Marshal()
 	if err == nil {
-		s, err = site.Unmarshal(data) // with the defaults filled in
+		s, err = site.Unmarshal(data) // fills in the defaults
 	}
 	if err != nil {
-		panic(err) // a plan of this package that cannot be stored
+		panic(err) // one of this package's plans is invalid
 	}
-	return Plan{Site: s, Hosts: hosts, Work: 5 * time.Millisecond}
+	return Plan{Site: s, HostsPerDataCentre: hosts, MeanServiceTime: 5 * time.Millisecond}
 }
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -1,15 +1,15 @@
-// Package stage runs a whole site in one process on loopback: the platform's
-// stand-in, backend server stand-ins, and daemons on addresses of their own.
-// The demo and the bench use it.
+// Package stage runs a whole site in one process on loopback addresses: stand-ins for
+// the platform and for the backend servers, and a daemon for each entry host. The demo
+// and the benchmarks use it.
 //
 // # Usage
 //
-//	r, err := stage.Start(stage.Lakeshore(), stage.WithSeed(1))
-//	defer r.Stop()
-//	err = r.Ready(ctx)
-//	r.KillDaemon(0)
+//	c, err := stage.Start(stage.Lakeshore(), stage.WithSeed(1))
+//	defer c.Stop()
+//	err = c.Ready(ctx)
+//	c.KillDaemon(0)
 //
-// Errors say which part could not be started.
+// Errors say which component could not be started.
 package stage
 
 import (
@@ -31,39 +31,39 @@
 	"catkinstep/io/standin/store"
 )
 
-// Plan is what a stage runs.
+// Plan describes what a Cluster runs.
 type Plan struct {
 	Site site.Site
-	// Hosts is the number of entry hosts in each data centre.
-	Hosts map[string]int
-	// Work is the mean time of a request at a server.
-	Work time.Duration
+	// HostsPerDataCentre is the number of entry hosts, by data centre.
+	HostsPerDataCentre map[string]int
+	// MeanServiceTime is the mean time that a request runs on a server.
+	MeanServiceTime time.Duration
 }
 
-// Option changes a Stage that Start makes.
-type Option func(*Stage)
+// Option configures a Cluster.
+type Option func(*Cluster)
 
-// WithSeed seeds all stand-ins and daemons.
-func WithSeed(seed uint64) Option { return func(r *Stage) { r.seed = seed } }
+// WithSeed seeds the stand-ins; 1 by default.
+func WithSeed(seed uint64) Option { return func(c *Cluster) { c.seed = seed } }
 
-// WithLogger sets where the daemons log.
-func WithLogger(l *slog.Logger) Option { return func(r *Stage) { r.log = l } }
+// WithLogger sets the daemons' logger. By default, they don't log.
+func WithLogger(l *slog.Logger) Option { return func(c *Cluster) { c.log = l } }
 
-// WithoutDaemons runs the stand-ins alone, for the baseline.
-func WithoutDaemons() Option { return func(r *Stage) { r.bare = true } }
+// WithoutDaemons runs only the stand-ins, for the baseline.
+func WithoutDaemons() Option { return func(c *Cluster) { c.withoutDaemons = true } }
 
-// Stage is a running site.
-type Stage struct {
+// Cluster is a running site.
+type Cluster struct {
 	Oracle  *oracle.Oracle
 	Store   *store.Store
 	Servers map[string]*server.Server
 
-	plan     Plan
-	seed     uint64
-	log      *slog.Logger
-	bare     bool
-	octet    int
-	platform *http.Server
+	plan           Plan
+	seed           uint64
+	log            *slog.Logger
+	withoutDaemons bool
+	secondOctet    int
+	platformServer *http.Server
 
 	mu     sync.Mutex
 	hosts  []*host
@@ -72,7 +72,7 @@
 
 type host struct {
 	prefs  prefs.Prefs
-	daemon *native.Daemon // nil while it is down
+	daemon *native.Daemon // nil while it does not run
 }
 
 const (
@@ -81,130 +81,132 @@
 	meshPort     = 7100
 	operatorPort = 7200
 	serverPort   = 9000
-	stopPatience = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
-// Start runs the plan. Addresses are 127.N.x.y, with the first N that is free.
-func Start(p Plan, opts ...Option) (*Stage, error) {
-	r := &Stage{Oracle: oracle.New(), Servers: map[string]*server.Server{}, plan: p, seed: 1,
+// Start starts the plan's site. All addresses are in 127.N.0.0/16, with the first N that is
+// free, so that several clusters can run on one machine.
+func Start(p Plan, opts ...Option) (*Cluster, error) {
+	c := &Cluster{Oracle: oracle.New(), Servers: map[string]*server.Server{}, plan: p, seed: 1,
 		log: slog.New(slog.DiscardHandler), killed: map[string]bool{}}
 	for _, o := range opts {
-		o(r)
+		o(c)
 	}
-	r.Store = store.New(store.WithSeed(r.seed))
-	l, err := r.claim()
+	c.Store = store.New(store.WithSeed(c.seed))
+	l, err := c.reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
-	r.platform = &http.Server{Handler: r.Store, ReadHeaderTimeout: time.Minute}
-	go func() { _ = r.platform.Serve(l) }()
-	r.address()
-	if err := r.startServers(); err != nil {
-		r.Stop()
+	c.platformServer = &http.Server{Handler: c.Store, ReadHeaderTimeout: time.Minute}
+	go func() { _ = c.platformServer.Serve(l) }()
+	c.assignAddresses()
+	if err := c.startServers(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	if r.bare {
-		return r, nil
+	if c.withoutDaemons {
+		return c, nil
 	}
-	if err := r.startHosts(); err != nil {
-		r.Stop()
+	if err := c.startHosts(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	return r, nil
+	return c, nil
 }
 
-// claim finds a free range of addresses by listening on its platform port.
-func (r *Stage) claim() (net.Listener, error) {
-	var last error
+// reserveAddresses finds a free range of addresses. A range is in use while the platform's
+// address in it is.
+func (c *Cluster) reserveAddresses() (net.Listener, error) {
+	var lastErr error
 	for n := 20; n < 120; n++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, platformPort))
 		if err == nil {
-			r.octet = n
+			c.secondOctet = n
 			return l, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, fmt.Errorf("stage: no free addresses: %w", last)
+	return nil, fmt.Errorf("stage: no free addresses: %w", lastErr)
 }
 
-// address gives each server of the plan its address.
-func (r *Stage) address() {
-	places := make([]site.DataCentre, len(r.plan.Site.DataCentres))
-	for i, d := range r.plan.Site.DataCentres {
-		places[i] = site.DataCentre{Name: d.Name}
+// assignAddresses sets the address of each server in the plan.
+func (c *Cluster) assignAddresses() {
+	dataCentres := make([]site.DataCentre, len(c.plan.Site.DataCentres))
+	for i, d := range c.plan.Site.DataCentres {
+		dataCentres[i] = site.DataCentre{Name: d.Name}
 		for j, v := range d.Servers {
-			v.Address = fmt.Sprintf("127.%d.%d.%d:%d", r.octet, 100+i, j+1, serverPort)
-			places[i].Servers = append(places[i].Servers, v)
+			v.Address = fmt.Sprintf("127.%d.%d.%d:%d", c.secondOctet, 100+i, j+1, serverPort)
+			dataCentres[i].Servers = append(dataCentres[i].Servers, v)
 		}
 	}
-	r.plan.Site.DataCentres = places
+	c.plan.Site.DataCentres = dataCentres
 }
 
-func (r *Stage) startServers() error {
-	n := r.seed * 1000
-	for _, d := range r.plan.Site.DataCentres {
+func (c *Cluster) startServers() error {
+	n := c.seed * 1000
+	for _, d := range c.plan.Site.DataCentres {
 		for _, v := range d.Servers {
 			n++
-			s, _ := r.plan.Site.Service(v.Service)
+			s, _ := c.plan.Site.Service(v.Service)
 			sv := server.New(server.Config{
 				Address: v.Address, Service: v.Service, DataCentre: d.Name, Slots: s.Slots,
-				Keyed: s.Keyed && !r.bare, Work: r.plan.Work, Cold: s.ColdPeriod, ColdRate: s.ColdRate, Seed: n,
-			}, r.Oracle)
+				Keyed: s.Keyed && !c.withoutDaemons, MeanServiceTime: c.plan.MeanServiceTime, ColdPeriod: s.ColdPeriod, ColdRate: s.ColdRate, Seed: n,
+			}, c.Oracle)
 			if err := sv.Start(); err != nil {
 				return err
 			}
-			r.Servers[v.Address] = sv
+			c.Servers[v.Address] = sv
 		}
 	}
 	return nil
 }
 
-func (r *Stage) startHosts() error {
+func (c *Cluster) startHosts() error {
 	var peers []string
-	for i, d := range r.plan.Site.DataCentres {
-		for j := range r.plan.Hosts[d.Name] {
-			ip := fmt.Sprintf("127.%d.%d.%d", r.octet, i+1, j+1)
-			r.hosts = append(r.hosts, &host{prefs: prefs.Prefs{
+	for i, d := range c.plan.Site.DataCentres {
+		for j := range c.plan.HostsPerDataCentre[d.Name] {
+			ip := fmt.Sprintf("127.%d.%d.%d", c.secondOctet, i+1, j+1)
+			c.hosts = append(c.hosts, &host{prefs: prefs.Prefs{
 				DataCentre:      d.Name,
 				CallerAddress:   fmt.Sprintf("%s:%d", ip, callersPort),
 				MeshAddress:     fmt.Sprintf("%s:%d", ip, meshPort),
 				OperatorAddress: fmt.Sprintf("%s:%d", ip, operatorPort),
-				PlatformAddress: fmt.Sprintf("127.%d.0.1:%d", r.octet, platformPort),
+				PlatformAddress: fmt.Sprintf("127.%d.0.1:%d", c.secondOctet, platformPort),
 				MaxBodyBytes:    1 << 20,
 			}})
 			peers = append(peers, fmt.Sprintf("%s:%d", ip, meshPort))
 		}
 	}
-	for i, h := range r.hosts {
+	for i, h := range c.hosts {
 		h.prefs.Peers = peers
-		if err := r.StartDaemon(i); err != nil {
+		if err := c.StartDaemon(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Ready applies the site and waits until every key has a holder that can be
-// sent to, as an operator's first minute would go.
-func (r *Stage) Ready(ctx context.Context) error {
-	data, err := r.plan.Site.Marshal()
+// Ready applies the site's configuration, as an operator does on a new site, and waits until
+// every daemon is ready and every key has a holder that accepts requests.
+func (c *Cluster) Ready(ctx context.Context) error {
+	data, err := c.plan.Site.Marshal()
 	if err != nil {
 		return err
 	}
-	if _, err := r.Operator().Apply(ctx, "demo.yaml", data); err != nil {
+	if _, err := c.Operator().Apply(ctx, "demo.yaml", data); err != nil {
 		return fmt.Errorf("stage: apply: %w", err)
 	}
 	for ctx.Err() == nil {
-		if r.settled() {
+		if c.allSettled() {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("stage: the keys did not get holders in time")
+	return errors.New("stage: timed out waiting for a holder of every key")
 }
 
-func (r *Stage) settled() bool {
-	for _, h := range r.live() {
+func (c *Cluster) allSettled() bool {
+	for _, h := range c.runningHosts() {
 		if !h.daemon.Ready() || !h.daemon.AllRangesOpen() {
 			return false
 		}
@@ -213,57 +215,58 @@
 }
 
 // Stop ends everything at once.
-func (r *Stage) Stop() {
+func (c *Cluster) Stop() {
 	var wg sync.WaitGroup
-	for _, h := range r.live() {
+	for _, h := range c.runningHosts() {
 		wg.Go(h.daemon.Kill)
 	}
 	wg.Wait()
-	for _, s := range r.Servers {
+	for _, s := range c.Servers {
 		s.Stop()
 	}
-	_ = r.platform.Close()
+	_ = c.platformServer.Close()
 }
 
-// Site returns the configuration with its addresses.
-func (r *Stage) Site() site.Site { return r.plan.Site }
+// Site returns the site's configuration, with the servers' addresses.
+func (c *Cluster) Site() site.Site { return c.plan.Site }
 
-// Operator returns a client of a live daemon.
-func (r *Stage) Operator() *admin.Client {
-	return admin.NewClient(r.live()[0].prefs.OperatorAddress, "")
+// Operator returns an operator's client of a daemon that runs.
+func (c *Cluster) Operator() *admin.Client {
+	return admin.NewClient(c.runningHosts()[0].prefs.OperatorAddress, "")
 }
 
-// ServersIn returns the addresses of a data centre's servers of a service.
-func (r *Stage) ServersIn(dataCentre, service string) []string {
-	var out []string
-	d, _ := r.plan.Site.DataCentre(dataCentre)
+// ServersIn returns the addresses of a data centre's servers of a service; of all services if
+// the name is empty.
+func (c *Cluster) ServersIn(dataCentre, service string) []string {
+	var addresses []string
+	d, _ := c.plan.Site.DataCentre(dataCentre)
 	for _, v := range d.Servers {
 		if v.Service == service || service == "" {
-			out = append(out, v.Address)
+			addresses = append(addresses, v.Address)
 		}
 	}
-	return out
+	return addresses
 }
 
-// Pick implements load.Balancer: the hosts whose readiness check passes.
-func (r *Stage) Pick(n uint64) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Pick implements load.Balancer. It chooses among the hosts that pass their readiness check.
+func (c *Cluster) Pick(n uint64) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ready []string
-	for _, h := range r.hosts {
+	for _, h := range c.hosts {
 		if h.daemon != nil && h.daemon.Ready() {
 			ready = append(ready, h.prefs.CallerAddress)
 		}
 	}
 	if len(ready) == 0 {
-		return r.hosts[0].prefs.CallerAddress
+		return c.hosts[0].prefs.CallerAddress
 	}
 	return ready[n%uint64(len(ready))]
 }
 
-// Killed implements load.Balancer.
-func (r *Stage) Killed(address string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.killed[address]
+// WasKilled implements load.Balancer.
+func (c *Cluster) WasKilled(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.killed[address]
 }
