--- a/io/connection/plat/plat_test.go
+++ b/io/connection/plat/plat_test.go
@@ -37,7 +37,7 @@
 	Convey("A write whose response was lost has an unknown outcome, and is not retried", t, func() {
 		s, c, stop := startPlatform()
 		defer stop()
-		s.SetFaults(store.Faults{LostReplyShare: 1})
+		s.SetFaults(store.Faults{LostResponseShare: 1})
 		_, err := c.Write(ctx, "site", 0, []byte("a"))
 		So(plat.IsKind(err, plat.OutcomeUnknown), ShouldBeTrue)
 		value, version := s.Value("site")
--- a/io/process/admin/change_test.go
+++ b/io/process/admin/change_test.go
@@ -72,7 +72,7 @@
 	Convey("An operator's own write is recognised after a lost response", t, func() {
 		platform, c, stop := newPlatformStandin()
 		defer stop()
-		platform.SetFaults(store.Faults{LostReplyShare: 1})
+		platform.SetFaults(store.Faults{LostResponseShare: 1})
 		a, err := ChangeSite(context.Background(), c, 0, func(v site.Site) (site.Site, error) { return v.WithPreset("peak") })
 		So(err, ShouldBeNil)
 		So(a.Preset, ShouldEqual, "peak")
--- a/io/standin/bench/bench.go
+++ b/io/standin/bench/bench.go
@@ -39,9 +39,10 @@
 	P50  Duration `json:"p50"`
 	P99  Duration `json:"p99"`
 	P999 Duration `json:"p999"`
-	// P99All includes idempotent requests without an answer, each counted as at least the timeout.
+	// P99All includes idempotent requests that were not answered, each counted as at least the
+	// timeout.
 	P99All Duration `json:"p99All"`
-	// Imbalance is the load of the busiest server divided by the mean.
+	// Imbalance is the number of runs on the busiest server, divided by the mean over all servers.
 	Imbalance float64 `json:"imbalance"`
 	// Churn is how many buckets of keys moved, MinChurn how many the events made necessary.
 	Churn    int `json:"churn"`
@@ -50,7 +51,7 @@
 	Unavailable Duration `json:"unavailableTime"`
 	// DuplicateRunShare is the share of runs that were not the first of their request.
 	DuplicateRunShare float64 `json:"extraWork"`
-	// Violations are those of the whole variant, the same in all its rows.
+	// Violations are those in the whole run of the variant, the same in all its rows.
 	Violations oracle.Verdict `json:"violations"`
 
 	ErrorCodes map[string]uint64 `json:"codes,omitempty"`
@@ -97,7 +98,7 @@
 	return func(r *run) { r.variants = append(r.variants, variant) }
 }
 
-// run is the run of one variant, and the configuration of it.
+// run is the run of one variant, with its configuration.
 type run struct {
 	plan     stage.Plan
 	seed     uint64
@@ -182,8 +183,8 @@
 	}
 	if variant == Baseline {
 		r.baseline = direct.New(r.cluster.Site())
-		for i := range r.cluster.BaselineHosts() {
-			if err := r.baseline.Start(r.cluster.BaselineAddress(i)); err != nil {
+		for i := range r.cluster.BaselineHostCount() {
+			if err := r.baseline.Start(r.cluster.BaselineHostAddress(i)); err != nil {
 				r.stop()
 				return err
 			}
@@ -209,7 +210,7 @@
 // Pick implements load.Balancer. The baseline's hosts are all picked in turn.
 func (r *run) Pick(n uint64) string {
 	if r.baseline != nil {
-		return r.cluster.BaselineAddress(int(n % uint64(r.cluster.BaselineHosts())))
+		return r.cluster.BaselineHostAddress(int(n % uint64(r.cluster.BaselineHostCount())))
 	}
 	return r.cluster.Pick(n)
 }
@@ -280,13 +281,13 @@
 		Requests: res.Requests, Answered: res.Answered, RefusedNotRun: res.NotRun, Unknown: res.Unknown,
 		P50: quantile(50), P99: quantile(99), P999: quantile(99.9),
 		P99All:    Duration(time.Duration(res.AllLatency.ValueAtQuantile(99)) * time.Microsecond),
-		Imbalance: r.cluster.Oracle.Imbalance(res.Service, r.loadStartedAt, time.Now(), len(r.servers(res.Service))),
+		Imbalance: r.cluster.Oracle.Imbalance(res.Service, r.loadStartedAt, time.Now(), len(r.serverAddresses(res.Service))),
 		Churn:     moves, MinChurn: minMoves, Unavailable: Duration(res.LongestOutage),
 		DuplicateRunShare: r.cluster.Oracle.DuplicateRunShare(res.Service, r.loadStartedAt), Violations: v, ErrorCodes: res.ErrorCodes,
 	}
 }
 
-func (r *run) servers(service string) []string {
+func (r *run) serverAddresses(service string) []string {
 	var addresses []string
 	for _, d := range r.cluster.Site().DataCentres {
 		addresses = append(addresses, r.cluster.ServersIn(d.Name, service)...)
--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -17,7 +17,7 @@
 type Outage struct {
 	Kind   string `json:"kind"`
 	Trials int    `json:"tries"`
-	// Median and Longest are over the trials. Each trial counts as the longest time that any
+	// Median and Longest are over the trials. The value of a trial is the longest time that any
 	// of the probed keys was not served.
 	Median  Duration `json:"median"`
 	Longest Duration `json:"longest"`
@@ -26,7 +26,7 @@
 	LastStart Duration `json:"lastWork"`
 }
 
-// OutageKinds returns the kinds of loss that MeasureOutages can cause.
+// OutageKinds returns the kinds of loss whose outages MeasureOutages can measure.
 func OutageKinds() []string {
 	return []string{"server", "frozenServer", "daemon", "leader", "dataCentre"}
 }
@@ -67,7 +67,7 @@
 }
 
 // measureOutage causes one loss while the keys are probed, then repairs it.
-func (r *run) measureOutage(ctx context.Context, kind string, n int) (longest, lastStart time.Duration, err error) {
+func (r *run) measureOutage(ctx context.Context, kind string, trial int) (longest, lastStart time.Duration, err error) {
 	probeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	gaps := make([]time.Duration, probeCount)
@@ -76,7 +76,7 @@
 		wg.Go(func() { gaps[i] = r.longestGap(probeCtx, fmt.Sprintf("probe-%d", i)) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	repair, lossAt, err := r.causeLoss(ctx, kind, n)
+	repair, lossAt, err := r.causeLoss(ctx, kind, trial)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -84,7 +84,7 @@
 	cancel()
 	wg.Wait()
 	if kind == "dataCentre" {
-		lastStart = r.cluster.Oracle.LastStartAfter(r.dataCentreFor(n), lossAt)
+		lastStart = r.cluster.Oracle.LastStartAfter(r.dataCentreFor(trial), lossAt)
 	}
 	if err := repair(); err != nil {
 		return 0, 0, err
@@ -94,23 +94,24 @@
 }
 
 // dataCentreFor returns the name of the data centre for the n-th trial.
-func (r *run) dataCentreFor(n int) string {
+func (r *run) dataCentreFor(trial int) string {
 	all := r.cluster.Site().DataCentres
-	return all[n%len(all)].Name
+	return all[trial%len(all)].Name
 }
 
-// causeLoss causes a loss. It returns a function that repairs it, and when it was caused.
-func (r *run) causeLoss(ctx context.Context, kind string, n int) (repair func() error, causedAt time.Time, err error) {
-	dataCentre := r.dataCentreFor(n)
+// causeLoss causes a loss. It returns a function that repairs the loss, and the time at which
+// the loss was caused.
+func (r *run) causeLoss(ctx context.Context, kind string, trial int) (repair func() error, causedAt time.Time, err error) {
+	dataCentre := r.dataCentreFor(trial)
 	switch kind {
 	case "server", "frozenServer":
-		keyed := ""
+		keyedService := ""
 		for _, s := range r.cluster.Site().Services {
 			if s.Keyed {
-				keyed = s.Name
+				keyedService = s.Name
 			}
 		}
-		s := r.cluster.Servers[r.cluster.ServersIn(dataCentre, keyed)[n%3]]
+		s := r.cluster.Servers[r.cluster.ServersIn(dataCentre, keyedService)[trial%3]]
 		if kind == "server" {
 			s.Stop()
 			return s.Start, time.Now(), nil
@@ -134,14 +135,14 @@
 	}, time.Now(), err
 }
 
-// longestGap requests one key in a loop and returns the longest time from one successful
-// response to the next.
+// longestGap sends requests for one key in a loop and returns the longest time from one
+// successful reply to the next.
 func (r *run) longestGap(ctx context.Context, key string) time.Duration {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: false, MaxIdleConnsPerHost: 2}}
-	keyed := strings.SplitN(r.exampleRoute(), "/", 2)[0]
+	keyedService := strings.SplitN(r.exampleRoute(), "/", 2)[0]
 	lastAnswered, longest := time.Now(), time.Duration(0)
 	for n := uint64(0); ctx.Err() == nil; n++ {
-		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyed+"/items/"+key, nil)
+		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyedService+"/items/"+key, nil)
 		if err != nil {
 			return longest
 		}
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// ScenarioNames returns the scenarios of the benchmarks. The demo's, story, is not among them.
+// ScenarioNames returns the names of the benchmarks' scenarios. It omits story, which only the
+// demo runs.
 func ScenarioNames() []string {
 	return []string{"steady", "slowed", "departure", "turnsCold", "hotKey", "serverLoss", "hostLoss"}
 }
@@ -54,7 +55,7 @@
 		}
 		var slowServers []*server.Server
 		for _, s := range r.cluster.Site().Services {
-			all := r.servers(s.Name)
+			all := r.serverAddresses(s.Name)
 			for i := range max(1, len(all)/5) {
 				v := r.cluster.Servers[all[(i*5+phase*2)%len(all)]]
 				v.SetFaults(server.Faults{SlowdownFactor: 10})
@@ -62,12 +63,12 @@
 			}
 		}
 		r.progressf("%d servers are ten times slower", len(slowServers))
-		inTime := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
+		reached := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
 		for _, v := range slowServers {
 			v.SetFaults(server.Faults{})
 		}
 		r.progressf("the slowed servers are back to normal speed")
-		if !inTime {
+		if !reached {
 			return
 		}
 	}
@@ -117,14 +118,14 @@
 		return
 	}
 	for _, s := range r.cluster.Site().Services {
-		r.cluster.Servers[r.servers(s.Name)[0]].TurnCold()
+		r.cluster.Servers[r.serverAddresses(s.Name)[0]].TurnCold()
 	}
 	r.progressf("a server of each service has turned cold without a restart")
 	if !r.waitUntilFraction(ctx, 0.5) {
 		return
 	}
 	for _, s := range r.cluster.Site().Services {
-		v := r.cluster.Servers[r.servers(s.Name)[1]]
+		v := r.cluster.Servers[r.serverAddresses(s.Name)[1]]
 		v.Stop()
 		if err := v.Start(); err != nil {
 			r.progressf("restart: %v", err)
@@ -147,7 +148,7 @@
 
 func (r *run) crashServers() {
 	for _, s := range r.cluster.Site().Services {
-		lost := r.servers(s.Name)[2]
+		lost := r.serverAddresses(s.Name)[2]
 		r.churn.ExpectMoves(s.Name, []string{lost}, 2)
 		r.cluster.Servers[lost].Stop()
 	}
@@ -156,7 +157,7 @@
 
 func (r *run) restartServers() {
 	for _, s := range r.cluster.Site().Services {
-		if err := r.cluster.Servers[r.servers(s.Name)[2]].Start(); err != nil {
+		if err := r.cluster.Servers[r.serverAddresses(s.Name)[2]].Start(); err != nil {
 			r.progressf("restart: %v", err)
 		}
 	}
@@ -191,7 +192,7 @@
 func story(ctx context.Context, r *run) {
 	host := r.cluster.HostCount() - 1
 	dataCentre := r.cluster.Site().DataCentres[2].Name
-	slowServer := r.servers(r.cluster.Site().Services[0].Name)[4]
+	slowServer := r.serverAddresses(r.cluster.Site().Services[0].Name)[4]
 	for _, step := range []struct {
 		fraction float64
 		do       func()
--- a/io/standin/direct/direct.go
+++ b/io/standin/direct/direct.go
@@ -1,6 +1,6 @@
 // Package direct is the baseline of the benchmarks: entry hosts that do not coordinate.
 // Each chooses backend servers on its own, round robin or by the hash of the key, with
-// static limits. Keys have no owner, and cold servers get no slow start.
+// static limits. Keys have no holder, and cold servers get no slow start.
 //
 // # Usage
 //
@@ -150,8 +150,8 @@
 	return servers[h.roundRobin[s.Name]%len(servers)]
 }
 
-// acquireSlot waits until this host runs fewer requests than a server has slots. It returns
-// false if the context ends first.
+// acquireSlot waits until this host has fewer requests running on a server than the server has
+// slots. It returns false if the context ends first.
 func (h *host) acquireSlot(ctx context.Context, s site.Service, server string) bool {
 	h.mu.Lock()
 	serverSlots := h.slots[server]
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -61,9 +61,9 @@
 	// ZipfExponent sets the Zipf distribution of keys; up to 1, the distribution is uniform.
 	ZipfExponent float64
 	// DedupByID is set if the service recognises a request that is sent again under its ID, so
-	// that a non-idempotent request can be retried safely.
+	// that retries of a non-idempotent request are safe.
 	DedupByID bool
-	// Timeout is how long callers wait for a response; default 2s.
+	// Timeout is how long callers wait for a reply; 2s by default.
 	Timeout time.Duration
 	Seed    uint64
 }
@@ -77,7 +77,7 @@
 	Unknown              uint64
 	Retries              uint64
 	ErrorCodes           map[string]uint64
-	AllLatency           *hdrhistogram.Histogram // of all idempotent requests; one without an answer counts at least as the timeout
+	AllLatency           *hdrhistogram.Histogram // of all idempotent requests; one that was not answered counts as at least the timeout
 	AnsweredLatency      *hdrhistogram.Histogram // of answered idempotent requests
 	NonIdempotentLatency *hdrhistogram.Histogram // of answered non-idempotent requests
 	LongestOutage        time.Duration           // longest time that requests for a key range failed
@@ -116,7 +116,7 @@
 	return g
 }
 
-// Reset clears the result, so that a part of a run can be measured.
+// Reset clears the results, so that a part of a run can be measured.
 func (g *Generator) Reset() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// Result returns a copy of the result since the last Reset.
+// Result returns a copy of the results since the last Reset.
 func (g *Generator) Result() Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,7 +182,7 @@
 	dueAt         time.Time
 }
 
-// attemptResult is the result of one attempt. The code says why there was no response.
+// attemptResult is the result of one attempt. The code says why the request was not answered.
 type attemptResult struct {
 	callerResult oracle.CallerResult
 	code         string
@@ -190,35 +190,35 @@
 }
 
 func (g *Generator) send(c call) {
-	var last attemptResult
+	var lastAttempt attemptResult
 	mayHaveRun := false // an attempt may have run
 	for attempt := range uint64(maxAttempts) {
-		last = g.attempt(c, attempt)
-		mayHaveRun = mayHaveRun || last.callerResult.Outcome == "unknown"
-		if !last.retry {
+		lastAttempt = g.attempt(c, attempt)
+		mayHaveRun = mayHaveRun || lastAttempt.callerResult.Outcome == "unknown"
+		if !lastAttempt.retry {
 			break
 		}
 		g.mu.Lock()
 		g.result.Retries++
 		g.mu.Unlock()
 	}
-	if mayHaveRun && last.callerResult.Outcome == "notRun" {
-		last.callerResult.Outcome = "unknown" // only the last attempt is known not to have run
+	if mayHaveRun && lastAttempt.callerResult.Outcome == "notRun" {
+		lastAttempt.callerResult.Outcome = "unknown" // only the last attempt is known not to have run
 	}
 	latency := time.Since(c.dueAt)
-	g.recorder.RecordResult(last.callerResult)
+	g.recorder.RecordResult(lastAttempt.callerResult)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := &g.result
 	r.Requests++
 	if !c.nonIdempotent {
 		counted := latency
-		if last.callerResult.Outcome != "answered" {
+		if lastAttempt.callerResult.Outcome != "answered" {
 			counted = max(latency, g.config.Timeout)
 		}
 		_ = r.AllLatency.RecordValue(min(max(1, counted.Microseconds()), maxLatencyMicros))
 	}
-	switch last.callerResult.Outcome {
+	switch lastAttempt.callerResult.Outcome {
 	case "answered":
 		r.Answered++
 		h := r.AnsweredLatency
@@ -233,17 +233,17 @@
 		r.LongestOutage = max(r.LongestOutage, outageFromLatency(latency))
 	case "notRun":
 		r.NotRun++
-		r.ErrorCodes[last.code]++
-		g.recordFailure(c, last.code)
+		r.ErrorCodes[lastAttempt.code]++
+		g.recordFailure(c, lastAttempt.code)
 	default:
 		r.Unknown++
-		r.ErrorCodes[last.code]++
-		g.recordFailure(c, last.code)
+		r.ErrorCodes[lastAttempt.code]++
+		g.recordFailure(c, lastAttempt.code)
 	}
 }
 
 // recordFailure starts an outage of the key's bucket, unless the code says that there is none:
-// a lack of capacity is no outage, and a lost response does not mean that other requests fail.
+// a lack of capacity is no outage, and a lost reply does not mean that other requests fail.
 func (g *Generator) recordFailure(c call, code string) {
 	switch code {
 	case "allBusy", "serverNotHoldingOrFull", "coldServer", "deadlineTooNear", "attemptFailed", "hostLost":
@@ -254,7 +254,7 @@
 	}
 }
 
-// outageBuckets is the number of key ranges for which outages are measured separately.
+// outageBuckets is the number of key buckets for which outages are measured separately.
 const outageBuckets = 256
 
 func bucketOf(key string) int { return grant.HashKey(key) * outageBuckets / (grant.LastKey + 1) }
@@ -293,15 +293,14 @@
 	if err != nil {
 		return g.connectionFailed(c, host, err)
 	}
-	result := parseResponse(c, resp, data)
+	result := parseReply(c, resp, data)
 	result.retry = c.nonIdempotent && g.config.DedupByID && result.callerResult.Outcome == "unknown" && result.code != "outcomeLost"
 	return result
 }
 
-// connectionFailed returns the result of an attempt whose connection brought no response. If
-// the host refused the connection or was killed, the request is retried if that is safe, as
-// callers do. If another host's connection broke, that host lost the request, unless the
-// attempt timed out.
+// connectionFailed returns the result of an attempt that got no reply. If the host refused the
+// connection or was killed, the request is retried if that is safe, as callers do. Any other
+// host has lost the request if its connection broke, unless the attempt timed out.
 func (g *Generator) connectionFailed(c call, host string, err error) attemptResult {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	var timeout net.Error
@@ -318,15 +317,15 @@
 	return attemptResult{callerResult: oracle.CallerResult{ID: c.id, Outcome: "unknown", ConnectionLost: !timedOut}, code: "noAnswer"}
 }
 
-// parseResponse returns the result of a response. An answered request must get its own ID and
-// key back.
-func parseResponse(c call, resp *http.Response, data []byte) attemptResult {
+// parseReply returns the result of an attempt that got a reply. The reply to an answered request
+// must contain the request's ID and key.
+func parseReply(c call, resp *http.Response, data []byte) attemptResult {
 	callerResult := oracle.CallerResult{ID: c.id, Outcome: resp.Header.Get("Catkinstep-Outcome")}
 	if callerResult.Outcome == "answered" {
 		var a struct {
 			ID, Path string
 		}
-		callerResult.WrongResponse = json.Unmarshal(data, &a) != nil || a.ID != c.id || !strings.Contains(a.Path, c.key)
+		callerResult.WrongReply = json.Unmarshal(data, &a) != nil || a.ID != c.id || !strings.Contains(a.Path, c.key)
 		return attemptResult{callerResult: callerResult}
 	}
 	var f struct{ Code string }
--- a/io/standin/oracle/doc.go
+++ b/io/standin/oracle/doc.go
@@ -1,7 +1,8 @@
 // Package oracle is the test oracle of the stand-ins: it checks what backend servers ran
 // against what callers saw. It does not depend on grants or any other mechanism of the
-// system. Servers report which request ran when, callers report their results, the
-// operator's commands report exclusions, and the oracle finds contradictions.
+// system. Servers report which requests they ran and when, callers report the results of
+// their requests, the operator's commands are recorded as exclusions, and the oracle finds
+// contradictions.
 //
 // # Usage
 //
--- a/io/standin/oracle/oracle.go
+++ b/io/standin/oracle/oracle.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// exclusionGrace is how long after the operator's command returns an excluded server may still
-// start requests.
+// exclusionGrace is how long an excluded server may still start requests, counted from the
+// return of the operator's command.
 const exclusionGrace = 2 * time.Second
 
 // maxFindings limits the findings that a verdict describes.
 const maxFindings = 20
 
-// Run is one execution of a request by a backend server.
+// Run is one run of a request on a backend server.
 type Run struct {
 	Server     string    `json:"server"`
 	DataCentre string    `json:"dataCentre"`
@@ -24,10 +24,10 @@
 	Key        string    `json:"key"`
 	Idempotent bool      `json:"idempotent"`
 	Start      time.Time `json:"start"`
-	// End is the time from which the run could have no effect any more.
+	// End is the time after which the run could have no effect any more.
 	End time.Time `json:"end"`
-	// Overload is set if the server received the request beyond its capacity. Such a Run stands
-	// for the arrival, not for an execution.
+	// Overload is set if the server received the request beyond its capacity. Such a Run records
+	// the request's arrival, not its execution.
 	Overload bool `json:"overload"`
 }
 
@@ -36,27 +36,27 @@
 	ID string
 	// Outcome is answered, notRun or unknown.
 	Outcome string
-	// WrongResponse is set if the response was another request's, or malformed.
-	WrongResponse bool
-	// ConnectionLost is set if the connection to a live host broke without a response.
+	// WrongReply is set if the reply was that to another request, or malformed.
+	WrongReply bool
+	// ConnectionLost is set if the connection to a host that was not killed broke without a reply.
 	ConnectionLost bool
 }
 
 // Verdict counts the violations of what the system guarantees.
 type Verdict struct {
-	// TwoOwners counts runs on a key that began while another server ran one on it.
+	// TwoOwners counts runs that began while another server was running a request for the same key.
 	TwoOwners int `json:"twoOwners"`
 	// DoubleRun counts non-idempotent requests that ran more than once.
 	DoubleRun int `json:"doubleRun"`
-	// WrongAnswer counts responses that were another request's, or malformed.
+	// WrongAnswer counts replies that were those to another request, or malformed.
 	WrongAnswer int `json:"wrongAnswer"`
-	// FalseNotRun counts requests that ran although the response said that they had not.
+	// FalseNotRun counts requests that ran although the reply said that they had not.
 	FalseNotRun int `json:"falseNotRun"`
 	// Overload counts requests that a server received beyond its capacity.
 	Overload int `json:"overload"`
 	// NewWorkAfterOut counts runs that began on a server while it was excluded.
 	NewWorkAfterOut int `json:"newWorkAfterOut"`
-	// CutRequest counts requests whose connection broke without a response.
+	// CutRequest counts requests whose connection broke without a reply.
 	CutRequest int `json:"cutRequest"`
 	// Findings describe the first maxFindings violations.
 	Findings []string `json:"findings,omitempty"`
@@ -75,7 +75,7 @@
 	exclusions []exclusion
 }
 
-// exclusion is the time during which a data centre or a server was out of service.
+// exclusion is a period in which a data centre or a server was out of service.
 type exclusion struct {
 	dataCentre, server string
 	startedAt, endedAt time.Time
@@ -84,7 +84,7 @@
 // New returns an Oracle without records.
 func New() *Oracle { return &Oracle{} }
 
-// RecordRun records an execution that has ended.
+// RecordRun records a run that has ended.
 func (o *Oracle) RecordRun(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,7 +129,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var v Verdict
-	o.checkOwnership(&v)
+	o.checkConcurrentRuns(&v)
 	runsByID := o.checkDuplicates(&v)
 	for _, r := range o.runs {
 		if r.Overload {
@@ -145,20 +145,20 @@
 		switch {
 		case result.ConnectionLost:
 			v.CutRequest++
-			v.addFinding("the connection of request %s broke without a response", result.ID)
-		case result.WrongResponse:
+			v.addFinding("the connection of request %s broke without a reply", result.ID)
+		case result.WrongReply:
 			v.WrongAnswer++
-			v.addFinding("request %s got a wrong or malformed response", result.ID)
+			v.addFinding("request %s got a wrong or malformed reply", result.ID)
 		case result.Outcome == "notRun" && runsByID[result.ID] > 0:
 			v.FalseNotRun++
-			v.addFinding("request %s ran, but its response said that it did not", result.ID)
+			v.addFinding("request %s ran, but the reply said that it did not", result.ID)
 		}
 	}
 	return v
 }
 
-// checkOwnership finds keys on which two servers ran requests at the same time.
-func (o *Oracle) checkOwnership(v *Verdict) {
+// checkConcurrentRuns finds keys for which two servers ran requests at the same time.
+func (o *Oracle) checkConcurrentRuns(v *Verdict) {
 	byKey := map[string][]Run{}
 	for _, r := range o.runs {
 		if r.Key != "" {
@@ -218,8 +218,8 @@
 	}
 }
 
-// Imbalance returns the number of runs of the busiest server divided by the mean of all
-// servers of a service. Only runs that began between from and to count.
+// Imbalance returns the number of runs on the busiest server of a service, divided by the mean
+// over all its servers. Only runs that began between from and to count.
 func (o *Oracle) Imbalance(service string, from, to time.Time, servers int) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -239,13 +239,13 @@
 }
 
 // DuplicateRunShare returns the share of a service's runs that were not the first of their
-// request. Only runs that began at from or later count.
-func (o *Oracle) DuplicateRunShare(service string, from time.Time) float64 {
+// request. Only runs that began at the time since or later count.
+func (o *Oracle) DuplicateRunShare(service string, since time.Time) float64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	seen, total, duplicates := map[string]bool{}, 0, 0
 	for _, r := range o.runs {
-		if r.Service != service || r.Overload || r.Start.Before(from) {
+		if r.Service != service || r.Overload || r.Start.Before(since) {
 			continue
 		}
 		total++
@@ -260,15 +260,15 @@
 	return float64(duplicates) / float64(total)
 }
 
-// LastStartAfter returns how long after from the last run began in a data centre; zero if none
-// began after it.
-func (o *Oracle) LastStartAfter(dataCentre string, from time.Time) time.Duration {
+// LastStartAfter returns the time from since to the start of the last run in a data centre;
+// zero if no run began after since.
+func (o *Oracle) LastStartAfter(dataCentre string, since time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last := time.Duration(0)
 	for _, r := range o.runs {
 		if r.DataCentre == dataCentre {
-			last = max(last, r.Start.Sub(from))
+			last = max(last, r.Start.Sub(since))
 		}
 	}
 	return last
--- a/io/standin/server/dedup.go
+++ b/io/standin/server/dedup.go
@@ -14,13 +14,14 @@
 	// dedupRetention is how long a request ID is kept, with the response.
 	dedupRetention = 2 * time.Minute
 	purgeInterval  = time.Second
-	// maxTransitTime bounds the time that a request spends on the way to the server. Its age is
-	// set by the sender, so it is out of date by up to that much on arrival.
+	// maxTransitTime is the longest time that a request is assumed to spend on the way to the
+	// server. The sender states the request's age, so on arrival the request is older than
+	// stated by up to this much.
 	maxTransitTime = time.Second
 )
 
-// scopedID identifies a non-idempotent request. The ID alone does not, because independent
-// callers may use the same one for different keys.
+// scopedID identifies a non-idempotent request. The ID alone does not suffice, because
+// independent callers may use the same ID for different keys.
 type scopedID struct {
 	key int
 	id  string
@@ -28,23 +29,25 @@
 
 // dedupEntry records a non-idempotent request, which must run at most once, from its arrival on.
 type dedupEntry struct {
-	// path tells requests apart: one with the same ID and another path is rejected.
+	// path is that of the first request. Another request with the same ID and a different path
+	// is rejected.
 	path      string
 	firstSeen time.Time
-	// completed is closed once response and refused are final.
+	// completed is closed once response and declined are final.
 	completed chan struct{}
-	// response is what each copy of the request gets; nil if the run has no valid outcome.
+	// response is what each copy of the request gets; nil if the outcome is unknown.
 	response *Response
-	// refused is set when the request did not run.
-	refused bool
+	// declined is set if the server declined the request, which has not run.
+	declined bool
 }
 
-// dedupTable holds the non-idempotent requests that one server process knows of.
+// dedupTable holds the non-idempotent requests that one instance of a server knows of.
 type dedupTable struct {
 	entries   map[scopedID]*dedupEntry
 	lastPurge time.Time
-	// completeSince is the time, by key, since which no request is missing from the table. The
-	// zero time means that none was ever missing; a key without an entry was never granted.
+	// completeSince is, by key, the time since which the table has an entry for every request.
+	// The zero time means that it has one for every request ever sent. A key that was never
+	// granted to this instance is absent.
 	completeSince map[int]time.Time
 }
 
@@ -63,10 +66,10 @@
 	return e, true
 }
 
-// remove deletes the entry of a request that did not run, so that it can be sent again.
+// remove deletes the entry of a request that the server declined, so that it can be sent again.
 func (t *dedupTable) remove(id scopedID) {
 	if e := t.entries[id]; e != nil {
-		e.refused = true
+		e.declined = true
 		close(e.completed)
 		delete(t.entries, id)
 	}
@@ -102,8 +105,8 @@
 
 // handover is the part of the table that the next holder of a key range receives.
 type handover struct {
-	// CompleteForMillis is for how long no request for these keys has been missing; -1 means
-	// that none was ever missing.
+	// CompleteForMillis is how long the table has had an entry for every request for these
+	// keys; -1 means that it has one for every request ever sent.
 	CompleteForMillis int64           `json:"allForMillis"`
 	Entries           []handoverEntry `json:"bookings"`
 }
@@ -122,7 +125,7 @@
 	return string(data)
 }
 
-// export returns the entries of a key range on which nothing runs any more.
+// export returns the handover of a key range on which no request runs any more.
 func (t *dedupTable) export(now time.Time, from, to int) handover {
 	h := handover{CompleteForMillis: -1}
 	for key := from; key <= to; key++ {
@@ -144,15 +147,15 @@
 		select {
 		case <-e.completed:
 			h.Entries = append(h.Entries, handoverEntry{ID: id.id, Key: id.key, Path: e.path, AgeMillis: now.Sub(e.firstSeen).Milliseconds(), Response: e.response})
-		default: // it waits for a slot, and is refused because the keys are released
+		default: // the request waits for a slot, and is declined because the keys are released
 		}
 	}
 	return h
 }
 
-// applyGrant records since when the table is complete for a granted range. A process that
-// never held a key knows none of its requests, even if the leader takes it for the process
-// that held the key before and sends grant.Kept.
+// applyGrant records since when the table is complete for a granted range. An instance that
+// never held a key knows none of the key's requests, even if the leader mistakes it for the
+// instance that held the key before and sends grant.Kept.
 func (t *dedupTable) applyGrant(now time.Time, from, to int, origin grant.Origin, handoverJSON string) error {
 	completeSince := now
 	switch origin {
@@ -195,27 +198,27 @@
 	}
 }
 
-// serveNonIdempotent runs a request unless its ID is known. A known request gets the response
-// of the first run, once that has ended. An unknown one that may have reached a previous
-// holder, whose requests this server does not know, is not run.
-func (s *Server) serveNonIdempotent(p *process, w http.ResponseWriter, r *http.Request, q request) {
+// serveNonIdempotent runs a request unless its ID is known. A request with a known ID gets the
+// response of the first run, once that has ended. If the ID is unknown, but an earlier holder of
+// the key may have run the request without this server knowing of it, the request is not run.
+func (s *Server) serveNonIdempotent(inst *instance, w http.ResponseWriter, r *http.Request, q request) {
 	for {
 		now := time.Now()
 		s.mu.Lock()
-		if !p.grants[q.key].expiresAt.After(now) {
+		if !inst.grants[q.key].expiresAt.After(now) {
 			s.mu.Unlock()
-			writeRefusal(w, r, http.StatusMisdirectedRequest)
+			writeDeclined(w, r, http.StatusMisdirectedRequest)
 			return
 		}
-		if p.dedupTable.entries[q.dedupID()] == nil && q.sinceFirstSent > 0 && !p.dedupTable.covers(now, q.key, now.Add(-q.sinceFirstSent)) {
+		if inst.dedupTable.entries[q.dedupID()] == nil && q.sinceFirstSent > 0 && !inst.dedupTable.covers(now, q.key, now.Add(-q.sinceFirstSent)) {
 			s.mu.Unlock()
 			writeOutcomeLost(w, q)
 			return
 		}
-		entry, isNew := p.dedupTable.getOrAdd(now, q.dedupID(), r.URL.Path)
+		entry, isNew := inst.dedupTable.getOrAdd(now, q.dedupID(), r.URL.Path)
 		s.mu.Unlock()
 		if isNew {
-			s.runRequest(p, w, r, q)
+			s.runRequest(inst, w, r, q)
 			return
 		}
 		if entry.path != r.URL.Path {
@@ -231,7 +234,7 @@
 			w.WriteHeader(http.StatusGatewayTimeout)
 			return
 		}
-		if entry.refused {
+		if entry.declined {
 			continue
 		}
 		if entry.response == nil {
@@ -243,15 +246,15 @@
 	}
 }
 
-// completeEntry stores the response of a non-idempotent request; nil if its outcome is unknown.
-func (p *process) completeEntry(q request, resp *Response) {
+// completeEntry stores the response of a non-idempotent request; nil if the outcome is unknown.
+func (inst *instance) completeEntry(q request, resp *Response) {
 	if !q.idempotent {
-		p.dedupTable.complete(q.dedupID(), resp)
+		inst.dedupTable.complete(q.dedupID(), resp)
 	}
 }
 
-// writeOutcomeLost answers that it cannot be known whether the request ran, and that this
-// server will not run it.
+// writeOutcomeLost writes a response that says that the outcome of the request is lost: it may
+// or may not have run, and this server will not run it.
 func writeOutcomeLost(w http.ResponseWriter, q request) {
 	w.Header().Set(names.Default().ID, q.id)
 	w.Header().Set(names.Default().OutcomeLost, "1")
@@ -260,8 +263,8 @@
 
 func (q request) dedupID() scopedID { return scopedID{key: q.key, id: q.id} }
 
-// timeSinceFirstSent returns how long ago the request was first sent under its ID; zero if
-// the sender does not say.
+// timeSinceFirstSent returns how long ago the first request with this ID was sent; zero if the
+// sender does not say.
 func timeSinceFirstSent(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(names.Default().FirstSent), 10, 64)
 	if err != nil || ms < 0 {
--- a/io/standin/server/doc.go
+++ b/io/standin/server/doc.go
@@ -1,8 +1,9 @@
-// Package server is a stand-in for a backend server that implements the product's own
-// protocol. It enforces grants of keys, deadlines and its limit of concurrent
-// requests, is cold after a start, ends a cancelled request early if it is idempotent,
-// and marks its refusals as not run. Faults can be injected: slowness, a frozen
-// process, a crash, a lost cache, responses with a wrong ID and truncated responses.
+// Package server is a stand-in for a backend server that implements Catkinstep's native
+// protocol. It runs requests only for the keys that it was granted, enforces deadlines
+// and a limit of concurrent requests, is cold after a start, and ends a cancelled
+// request early if it is idempotent. A request that it declines is marked as not run.
+// Faults can be injected: slowness, a frozen process, a crash, a lost cache, responses
+// with a wrong ID and truncated responses.
 //
 // # Usage
 //
@@ -12,6 +13,6 @@
 //	s.Stop()
 //
 // Over HTTP, POST /catkinstep/grant and /catkinstep/release grant and release keys,
-// POST /standin/faults replaces the faults, GET /standin/runs returns the executions,
-// and any other path is a request.
+// POST /standin/faults replaces the faults, GET /standin/runs returns the runs so far,
+// and any other path is a request to run.
 package server
--- a/io/standin/server/grant.go
+++ b/io/standin/server/grant.go
@@ -11,68 +11,70 @@
 	"catkinstep/io/process/native"
 )
 
-// parseKeys reads the body of a grant or a release.
-func parseKeys(p *process, body []byte) (keys native.KeyRangeRequest, ok bool) {
-	err := json.Unmarshal(body, &keys)
-	return keys, err == nil && len(p.grants) > 0 && keys.From >= 0 && keys.From <= keys.To && keys.To <= grant.LastKey
+// parseKeyRange reads the body of a grant or a release. ok is false if the service has no
+// keys or the range is not valid.
+func parseKeyRange(inst *instance, body []byte) (keyRange native.KeyRangeRequest, ok bool) {
+	err := json.Unmarshal(body, &keyRange)
+	return keyRange, err == nil && len(inst.grants) > 0 && keyRange.From >= 0 && keyRange.From <= keyRange.To && keyRange.To <= grant.LastKey
 }
 
-// serveGrant accepts a grant of a key range. The grant expires relative to the arrival of the
-// call. It is rejected if one of the keys was granted with a higher fencing token before.
-func (s *Server) serveGrant(p *process, w http.ResponseWriter, body []byte, arrived time.Time) {
-	keys, ok := parseKeys(p, body)
-	if !ok || keys.HoldMillis <= 0 {
+// serveGrant accepts a grant of a key range. The grant's lifetime counts from the arrival of
+// the call. The grant is rejected if one of the keys was granted with a higher fencing token
+// before.
+func (s *Server) serveGrant(inst *instance, w http.ResponseWriter, body []byte, arrived time.Time) {
+	keyRange, ok := parseKeyRange(inst, body)
+	if !ok || keyRange.HoldMillis <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range p.grants[keys.From : keys.To+1] {
-		if h.fence > keys.Fence {
+	for _, keyGrant := range inst.grants[keyRange.From : keyRange.To+1] {
+		if keyGrant.fence > keyRange.Fence {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
 	}
-	if err := p.dedupTable.applyGrant(time.Now(), keys.From, keys.To, keys.Origin, keys.Handover); err != nil {
+	if err := inst.dedupTable.applyGrant(time.Now(), keyRange.From, keyRange.To, keyRange.Origin, keyRange.Handover); err != nil {
 		http.Error(w, fmt.Sprintf("handover: %v", err), http.StatusBadRequest)
 		return
 	}
-	expiresAt := arrived.Add(time.Duration(keys.HoldMillis) * time.Millisecond)
-	for key := keys.From; key <= keys.To; key++ {
-		p.grants[key] = keyGrant{fence: keys.Fence, expiresAt: expiresAt}
+	expiresAt := arrived.Add(time.Duration(keyRange.HoldMillis) * time.Millisecond)
+	for key := keyRange.From; key <= keyRange.To; key++ {
+		inst.grants[key] = keyGrant{fence: keyRange.Fence, expiresAt: expiresAt}
 	}
 }
 
 // releasePollInterval is how often a release checks whether requests still run on its keys.
 const releasePollInterval = time.Millisecond
 
-// serveRelease refuses new requests for the keys at once and answers when the running ones
-// have ended.
-func (s *Server) serveRelease(p *process, w http.ResponseWriter, body []byte) {
-	keys, ok := parseKeys(p, body)
+// serveRelease releases a key range. The server declines new requests for the keys at once, and
+// responds to the release, with a handover for the next holder, when the running ones have ended.
+func (s *Server) serveRelease(inst *instance, w http.ResponseWriter, body []byte) {
+	keyRange, ok := parseKeyRange(inst, body)
 	if !ok {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	for key := keys.From; key <= keys.To; key++ {
-		p.grants[key] = keyGrant{fence: max(keys.Fence, p.grants[key].fence)}
+	for key := keyRange.From; key <= keyRange.To; key++ {
+		inst.grants[key] = keyGrant{fence: max(keyRange.Fence, inst.grants[key].fence)}
 	}
 	s.mu.Unlock()
-	for s.hasRunningRequests(p, keys) {
+	for s.hasRunningRequests(inst, keyRange) {
 		time.Sleep(releasePollInterval)
 	}
 	s.mu.Lock()
-	exported := p.dedupTable.exportJSON(time.Now(), keys.From, keys.To)
+	exported := inst.dedupTable.exportJSON(time.Now(), keyRange.From, keyRange.To)
 	s.mu.Unlock()
 	w.Header().Set(names.Default().Handover, exported)
 }
 
-func (s *Server) hasRunningRequests(p *process, keys native.KeyRangeRequest) bool {
+func (s *Server) hasRunningRequests(inst *instance, keyRange native.KeyRangeRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, key := range p.runningKeys {
-		if keys.From <= key && key <= keys.To {
+	for _, key := range inst.runningKeys {
+		if keyRange.From <= key && key <= keyRange.To {
 			return true
 		}
 	}
--- a/io/standin/server/serve.go
+++ b/io/standin/server/serve.go
@@ -22,7 +22,7 @@
 	Server  string `json:"server"`
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// RunCount is how many requests for the path this process has run, this one included.
+	// RunCount is how many requests for the path this instance has run, including this one.
 	RunCount int `json:"count"`
 }
 
@@ -32,12 +32,12 @@
 	key        int
 	deadline   time.Time
 	idempotent bool
-	// sinceFirstSent is how long ago the request was first sent under its ID; zero if the
+	// sinceFirstSent is how long ago the first request with this ID was sent; zero if the
 	// sender does not say.
 	sinceFirstSent time.Duration
 }
 
-func (s *Server) serve(p *process, w http.ResponseWriter, r *http.Request) {
+func (s *Server) serve(inst *instance, w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	switch {
 	case r.URL.Path == "/standin/faults" && r.Method == http.MethodPost:
@@ -56,107 +56,108 @@
 	}
 	s.waitWhileFrozen(r.Context())
 	if id := r.Header.Get(names.Default().Instance); id != "" && id != native.ServerID(s.config.Address) {
-		writeRefusal(w, r, http.StatusMisdirectedRequest)
+		writeDeclined(w, r, http.StatusMisdirectedRequest)
 		return
 	}
 	switch r.URL.Path {
 	case native.GrantPath:
-		s.serveGrant(p, w, body, arrived)
+		s.serveGrant(inst, w, body, arrived)
 	case native.ReleasePath:
-		s.serveRelease(p, w, body)
+		s.serveRelease(inst, w, body)
 	default:
-		s.serveRequest(p, w, r)
+		s.serveRequest(inst, w, r)
 	}
 }
 
-func (s *Server) serveRequest(p *process, w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRequest(inst *instance, w http.ResponseWriter, r *http.Request) {
 	q := parseRequest(r, time.Now())
 	if s.config.Keyed && !q.idempotent && q.id != "" {
-		s.serveNonIdempotent(p, w, r, q)
+		s.serveNonIdempotent(inst, w, r, q)
 		return
 	}
-	s.runRequest(p, w, r, q)
+	s.runRequest(inst, w, r, q)
 }
 
-// refuseNewRequest refuses a request that has not run, and deletes its entry so that the
-// request can be sent again.
-func (s *Server) refuseNewRequest(p *process, w http.ResponseWriter, r *http.Request, q request, status int) {
+// declineNewRequest declines a request that has not run, and deletes its entry in the
+// dedupTable so that the request can be sent again.
+func (s *Server) declineNewRequest(inst *instance, w http.ResponseWriter, r *http.Request, q request, status int) {
 	s.mu.Lock()
 	if !q.idempotent {
-		p.dedupTable.remove(q.dedupID())
+		inst.dedupTable.remove(q.dedupID())
 	}
 	s.mu.Unlock()
-	writeRefusal(w, r, status)
+	writeDeclined(w, r, status)
 }
 
-// runRequest waits for a slot, runs a request and writes its response.
-func (s *Server) runRequest(p *process, w http.ResponseWriter, r *http.Request, q request) {
-	if !s.admit(p, q) {
+// runRequest waits for a slot, runs a request and writes its response. It declines the request
+// if the server does not hold its key or is full.
+func (s *Server) runRequest(inst *instance, w http.ResponseWriter, r *http.Request, q request) {
+	if !s.admit(inst, q) {
 		status := http.StatusServiceUnavailable
 		if s.config.Keyed {
 			status = http.StatusMisdirectedRequest
 		}
-		s.refuseNewRequest(p, w, r, q, status)
+		s.declineNewRequest(inst, w, r, q, status)
 		return
 	}
-	if !s.acquireSlot(r.Context(), p, q) {
-		s.refuseNewRequest(p, w, r, q, http.StatusServiceUnavailable)
+	if !s.acquireSlot(r.Context(), inst, q) {
+		s.declineNewRequest(inst, w, r, q, http.StatusServiceUnavailable)
 		return
 	}
-	defer func() { <-p.slots }()
-	runID, startedAt, result := s.startRun(p, q, r)
+	defer func() { <-inst.slots }()
+	runID, startedAt, result := s.startRun(inst, q, r)
 	switch result {
 	case keyNotHeld:
-		s.refuseNewRequest(p, w, r, q, http.StatusMisdirectedRequest)
+		s.declineNewRequest(inst, w, r, q, http.StatusMisdirectedRequest)
 		return
-	case processCrashed:
+	case instanceCrashed:
 		s.Stop()
 		panic(http.ErrAbortHandler)
 	default:
 	}
 	s.simulateWork(r, q)
 	s.waitWhileFrozen(r.Context())
-	resp, faults, ok := s.finishRun(p, runID, q, r, startedAt)
+	resp, faults, ok := s.finishRun(inst, runID, q, r, startedAt)
 	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 	s.writeResponse(w, q, resp, faults)
 }
 
-// admit reports whether the server may run the request. It records an overload if the server
-// is cold and receives more requests than it can handle, but admits them all the same.
-func (s *Server) admit(p *process, q request) bool {
+// admit reports whether the server may run the request. A cold server that receives more
+// requests than it can handle admits them too, but records each as overload.
+func (s *Server) admit(inst *instance, q request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.config.Keyed && !p.grants[q.key].expiresAt.After(now) {
+	if s.config.Keyed && !inst.grants[q.key].expiresAt.After(now) {
 		return false
 	}
-	if !now.Before(p.coldUntil) {
+	if !now.Before(inst.coldUntil) {
 		return true
 	}
-	p.coldArrivals = slices.DeleteFunc(p.coldArrivals, func(t time.Time) bool { return now.Sub(t) > time.Second })
-	p.coldArrivals = append(p.coldArrivals, now)
-	unannounced := !p.unannouncedColdAt.IsZero() && now.Sub(p.unannouncedColdAt) < unannouncedColdGrace+time.Second
-	if float64(len(p.coldArrivals)) > s.config.ColdRate*coldRateFactor+coldBurst && !unannounced {
+	inst.coldArrivals = slices.DeleteFunc(inst.coldArrivals, func(t time.Time) bool { return now.Sub(t) > time.Second })
+	inst.coldArrivals = append(inst.coldArrivals, now)
+	unannounced := !inst.unannouncedColdAt.IsZero() && now.Sub(inst.unannouncedColdAt) < unannouncedColdGrace+time.Second
+	if float64(len(inst.coldArrivals)) > s.config.ColdRate*coldRateFactor+coldBurst && !unannounced {
 		s.record(oracle.Run{Server: s.config.Address, DataCentre: s.config.DataCentre, Service: s.config.Service,
 			ID: q.id + " (too many while cold)", Idempotent: true, Start: now, End: now, Overload: true})
 	}
 	return true
 }
 
-// acquireSlot waits for a slot until the caller's deadline. It fails at once if maxQueued
-// requests wait already.
-func (s *Server) acquireSlot(ctx context.Context, p *process, q request) bool {
+// acquireSlot waits for a slot until the request's deadline. It returns false at once if
+// maxQueued requests are waiting already.
+func (s *Server) acquireSlot(ctx context.Context, inst *instance, q request) bool {
 	select {
-	case p.slots <- struct{}{}:
+	case inst.slots <- struct{}{}:
 		return true
 	default:
 	}
 	s.mu.Lock()
-	full := p.queued >= maxQueued
+	full := inst.queued >= maxQueued
 	if !full {
-		p.queued++
+		inst.queued++
 	}
 	s.mu.Unlock()
 	if full {
@@ -165,12 +166,12 @@
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		p.queued--
+		inst.queued--
 	}()
 	t := time.NewTimer(time.Until(q.deadline))
 	defer t.Stop()
 	select {
-	case p.slots <- struct{}{}:
+	case inst.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 	case <-t.C:
@@ -178,28 +179,28 @@
 	return false
 }
 
-// startResult says whether a request that has a slot was started.
+// startResult says whether a request that got a slot was started, and if not, why.
 type startResult int
 
 const (
 	runStarted startResult = iota
 	keyNotHeld
-	processCrashed
+	instanceCrashed
 )
 
-func (s *Server) startRun(p *process, q request, r *http.Request) (runID uint64, startedAt time.Time, result startResult) {
+func (s *Server) startRun(inst *instance, q request, r *http.Request) (runID uint64, startedAt time.Time, result startResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.config.Keyed && !p.grants[q.key].expiresAt.After(now) || p.stopped {
+	if s.config.Keyed && !inst.grants[q.key].expiresAt.After(now) || inst.stopped {
 		return 0, now, keyNotHeld // the key was released while the request waited for its slot
 	}
 	if crashPath := s.faults.CrashOnPath; crashPath != "" && strings.Contains(r.URL.Path, crashPath) {
 		s.record(s.newRun(q, now, now))
-		return 0, now, processCrashed
+		return 0, now, instanceCrashed
 	}
 	s.lastRunID++
-	p.runningKeys[s.lastRunID] = q.key
+	inst.runningKeys[s.lastRunID] = q.key
 	return s.lastRunID, now, runStarted
 }
 
@@ -227,42 +228,42 @@
 	}
 }
 
-// finishRun records a run and returns its response with the faults to apply to it: 1 in a
-// share means that this response has the fault. There is no response if the process has
-// stopped, the grant of the key has expired meanwhile, or the deadline of an idempotent
-// request has passed.
-func (s *Server) finishRun(p *process, runID uint64, q request, r *http.Request, startedAt time.Time) (Response, Faults, bool) {
+// finishRun records a run and returns its response with the faults to apply to it. In these
+// faults, a share is 1 if this response has the fault, and 0 otherwise. There is no response
+// if the instance has stopped, the grant of the key has expired meanwhile, or the deadline of
+// an idempotent request has passed.
+func (s *Server) finishRun(inst *instance, runID uint64, q request, r *http.Request, startedAt time.Time) (Response, Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	endedAt, expired := now, false
-	if h := s.grantOf(p, q.key); s.config.Keyed && h.fence != 0 && !h.expiresAt.IsZero() && now.After(h.expiresAt) {
-		endedAt, expired = h.expiresAt, true // a run has no effect after the grant expires
+	if granted := s.grantOf(inst, q.key); s.config.Keyed && granted.fence != 0 && !granted.expiresAt.IsZero() && now.After(granted.expiresAt) {
+		endedAt, expired = granted.expiresAt, true // a run has no effect after the grant expires
 	}
 	deadlinePassed := q.idempotent && now.After(q.deadline)
 	if deadlinePassed && endedAt.After(q.deadline) {
 		endedAt = q.deadline
 	}
 	s.record(s.newRun(q, startedAt, endedAt))
-	delete(p.runningKeys, runID)
-	if deadlinePassed || p.stopped || expired {
-		p.completeEntry(q, nil)
+	delete(inst.runningKeys, runID)
+	if deadlinePassed || inst.stopped || expired {
+		inst.completeEntry(q, nil)
 		return Response{}, Faults{}, false
 	}
-	p.runsByPath[r.URL.Path]++
-	resp := Response{ID: q.id, Server: s.config.Address, Service: s.config.Service, Path: r.URL.Path, RunCount: p.runsByPath[r.URL.Path]}
-	p.completeEntry(q, &resp)
+	inst.runsByPath[r.URL.Path]++
+	resp := Response{ID: q.id, Server: s.config.Address, Service: s.config.Service, Path: r.URL.Path, RunCount: inst.runsByPath[r.URL.Path]}
+	inst.completeEntry(q, &resp)
 	respFaults := s.faults
 	respFaults.WrongIDShare = s.sampleFault(respFaults.WrongIDShare)
 	respFaults.TruncatedShare = s.sampleFault(respFaults.TruncatedShare)
 	return resp, respFaults, true
 }
 
-func (s *Server) grantOf(p *process, key int) keyGrant {
+func (s *Server) grantOf(inst *instance, key int) keyGrant {
 	if !s.config.Keyed {
 		return keyGrant{}
 	}
-	return p.grants[key]
+	return inst.grants[key]
 }
 
 func (s *Server) writeResponse(w http.ResponseWriter, q request, resp Response, faults Faults) {
@@ -284,11 +285,11 @@
 	_, _ = w.Write(data)
 }
 
-// loadHeader returns the number of running and of queued requests and the number of slots.
+// loadHeader returns the load header: the numbers of running requests, queued requests and slots.
 func (s *Server) loadHeader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fmt.Sprintf("%d,%d,%d", len(s.process.runningKeys), s.process.queued, s.config.Slots)
+	return fmt.Sprintf("%d,%d,%d", len(s.instance.runningKeys), s.instance.queued, s.config.Slots)
 }
 
 // sampleFault returns 1 with the probability share, and 0 otherwise.
@@ -347,8 +348,9 @@
 	return q
 }
 
-// writeRefusal answers that the request did not run.
-func writeRefusal(w http.ResponseWriter, r *http.Request, status int) {
+// writeDeclined writes the response to a request that the server declines, which says that the
+// request did not run.
+func writeDeclined(w http.ResponseWriter, r *http.Request, status int) {
 	n := names.Default()
 	w.Header().Set(n.ID, r.Header.Get(n.ID))
 	w.Header().Set(n.NotRun, "1")
--- a/io/standin/server/server.go
+++ b/io/standin/server/server.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// unannouncedColdGrace is how long overload is not reported after the server turned cold
+	// unannouncedColdGrace is how long overload is not recorded after the server turned cold
 	// without a restart, because routers can't know of it yet.
 	unannouncedColdGrace = 300 * time.Millisecond
 	// A cold server is overloaded when more than coldRateFactor times its cold rate plus
 	// coldBurst requests arrive within a second.
 	coldRateFactor = 1.5
 	coldBurst      = 5
-	// maxQueued is how many requests can wait for a slot; more are refused.
+	// maxQueued is how many requests can wait for a slot; the server declines more.
 	maxQueued = 2
 )
 
-// Recorder receives each execution of a request. It is implemented by oracle.Oracle.
+// Recorder receives each run of a request. It is implemented by oracle.Oracle.
 type Recorder interface{ RecordRun(oracle.Run) }
 
 // Config is the configuration of one server.
@@ -38,19 +38,20 @@
 	Slots int
 	// Keyed makes the server run a request only while it holds the request's key.
 	Keyed bool
-	// MeanServiceTime is the mean time that a request runs; default 5ms.
+	// MeanServiceTime is the mean of the service time, which is how long a request runs; 5ms
+	// by default.
 	MeanServiceTime time.Duration
 	// ColdPeriod is how long the server is cold after a start.
 	ColdPeriod time.Duration
 	// ColdRate is how many requests per second a cold server can handle; zero means that the
-	// server is never cold.
+	// server is never cold. Requests beyond it are recorded as overload.
 	ColdRate float64
 	Seed     uint64
 }
 
 // Faults are the faults to inject into a server.
 type Faults struct {
-	// SlowdownFactor multiplies the time that a request runs; 1 or less has no effect.
+	// SlowdownFactor multiplies the service time; 1 or less has no effect.
 	SlowdownFactor float64 `json:"slow"`
 	// Frozen suspends the server, as SIGSTOP does with a process.
 	Frozen bool `json:"frozen"`
@@ -58,7 +59,7 @@
 	WrongIDShare float64 `json:"crossAnswers"`
 	// TruncatedShare is the share of responses that break off in the middle.
 	TruncatedShare float64 `json:"cutAnswers"`
-	// CrashOnPath crashes the server when it runs a request whose path contains this text;
+	// CrashOnPath crashes the server when it is about to run a request whose path contains this text;
 	// empty means never.
 	CrashOnPath string `json:"crashOn"`
 }
@@ -70,8 +71,8 @@
 	expiresAt time.Time
 }
 
-// process is the state of one server process. A restart begins with a new one.
-type process struct {
+// instance is the state of one run of the server. A restart begins with a new one.
+type instance struct {
 	listener          net.Listener
 	http              *http.Server
 	stopped           bool
@@ -87,13 +88,14 @@
 	coldArrivals      []time.Time // requests of the last second, while cold
 }
 
-// Server is a stand-in for a backend server. It can be restarted at the same address.
+// Server is a stand-in for a backend server. Start after Stop starts a new instance at the
+// same address.
 type Server struct {
 	config   Config
 	recorder Recorder
 
 	mu        sync.Mutex
-	process   *process
+	instance  *instance
 	faults    Faults
 	resumed   chan struct{} // closed unless the server is frozen
 	lastRunID uint64
@@ -111,42 +113,42 @@
 	return s
 }
 
-// Start starts the server as a new process, which is cold and holds no key.
+// Start starts a new instance of the server, which is cold and holds no key.
 func (s *Server) Start() error {
 	l, err := net.Listen("tcp", s.config.Address)
 	if err != nil {
 		return fmt.Errorf("server stand-in: %w", err)
 	}
 	now := time.Now()
-	p := &process{listener: l, runningKeys: map[uint64]int{}, slots: make(chan struct{}, s.config.Slots), runsByPath: map[string]int{}, dedupTable: newDedupTable(), startedAt: now}
+	inst := &instance{listener: l, runningKeys: map[uint64]int{}, slots: make(chan struct{}, s.config.Slots), runsByPath: map[string]int{}, dedupTable: newDedupTable(), startedAt: now}
 	if s.config.ColdRate > 0 {
-		p.coldUntil = now.Add(s.config.ColdPeriod)
+		inst.coldUntil = now.Add(s.config.ColdPeriod)
 	}
 	if s.config.Keyed {
-		p.grants = make([]keyGrant, grant.LastKey+1)
+		inst.grants = make([]keyGrant, grant.LastKey+1)
 	}
-	p.http = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(p, w, r) })}
+	inst.http = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.serve(inst, w, r) })}
 	s.mu.Lock()
-	s.process = p
+	s.instance = inst
 	s.mu.Unlock()
 	go func() {
-		if err := p.http.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		if err := inst.http.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 			panic(err)
 		}
 	}()
 	return nil
 }
 
-// Stop ends the server at once, as a crash does: open connections break.
+// Stop ends the current instance at once, as a crash does: open connections break.
 func (s *Server) Stop() {
 	s.mu.Lock()
-	p := s.process
-	if p != nil {
-		p.stopped = true // goroutines that still run must have no effect
+	inst := s.instance
+	if inst != nil {
+		inst.stopped = true // goroutines that still run must have no effect
 	}
 	s.mu.Unlock()
-	if p != nil {
-		_ = p.http.Close()
+	if inst != nil {
+		_ = inst.http.Close()
 	}
 }
 
@@ -175,19 +177,19 @@
 func (s *Server) TurnCold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.process == nil || s.config.ColdRate <= 0 {
+	if s.instance == nil || s.config.ColdRate <= 0 {
 		return
 	}
-	s.process.unannouncedColdAt = time.Now()
-	s.process.coldUntil = s.process.unannouncedColdAt.Add(s.config.ColdPeriod)
+	s.instance.unannouncedColdAt = time.Now()
+	s.instance.coldUntil = s.instance.unannouncedColdAt.Add(s.config.ColdPeriod)
 }
 
 // Warm ends the cold period.
 func (s *Server) Warm() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.process != nil {
-		s.process.coldUntil = time.Time{}
+	if s.instance != nil {
+		s.instance.coldUntil = time.Time{}
 	}
 }
 
@@ -195,17 +197,17 @@
 func (s *Server) Holds(key int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.process != nil && !s.process.stopped && len(s.process.grants) > key && s.process.grants[key].expiresAt.After(time.Now())
+	return s.instance != nil && !s.instance.stopped && len(s.instance.grants) > key && s.instance.grants[key].expiresAt.After(time.Now())
 }
 
 // Running returns the number of requests that run now.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.process == nil {
+	if s.instance == nil {
 		return 0
 	}
-	return len(s.process.runningKeys)
+	return len(s.instance.runningKeys)
 }
 
 // waitWhileFrozen blocks until the server is not frozen.
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -10,19 +10,19 @@
 )
 
 // Churn polls the table of keys that the leader stores on the platform, and counts how often a
-// bucket of keys moved from one server to another. It judges a bucket by its first key.
+// bucket of keys moved from one server to another. It looks only at the first key of each bucket.
 type Churn struct {
 	cluster *Cluster
 
 	mu       sync.Mutex
-	owners   map[string][]string // address of each bucket's holder, by service
+	holders  map[string][]string // address of each bucket's holder, by service and bucket
 	moves    map[string]int
 	minMoves map[string]int
 }
 
 // NewChurn starts a Churn, which polls until the context ends.
 func NewChurn(ctx context.Context, cluster *Cluster) *Churn {
-	c := &Churn{cluster: cluster, owners: map[string][]string{}, moves: map[string]int{}, minMoves: map[string]int{}}
+	c := &Churn{cluster: cluster, holders: map[string][]string{}, moves: map[string]int{}, minMoves: map[string]int{}}
 	c.poll()
 	go func() {
 		t := time.NewTicker(20 * time.Millisecond)
@@ -39,14 +39,14 @@
 	return c
 }
 
-// ExpectMoves adds to the minimum the moves that an event makes necessary: movesPerBucket for
-// each bucket that these servers hold now. That is 2 where the buckets leave and come back.
+// ExpectMoves adds the moves that an event makes necessary to the minimum: movesPerBucket for
+// each bucket that these servers hold now. It is 2 if the buckets move away and come back.
 func (c *Churn) ExpectMoves(service string, servers []string, movesPerBucket int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range c.owners[service] {
+	for _, holder := range c.holders[service] {
 		for _, s := range servers {
-			if o == s {
+			if holder == s {
 				c.minMoves[service] += movesPerBucket
 			}
 		}
@@ -70,21 +70,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, share := range table.Services {
-		bucketOwners := c.owners[share.Service]
-		if bucketOwners == nil {
-			bucketOwners = make([]string, keeper.Buckets)
-			c.owners[share.Service] = bucketOwners
+		bucketHolders := c.holders[share.Service]
+		if bucketHolders == nil {
+			bucketHolders = make([]string, keeper.Buckets)
+			c.holders[share.Service] = bucketHolders
 		}
-		for bucket := range bucketOwners {
+		for bucket := range bucketHolders {
 			keyRange, ok := table.RangeOf(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
-			owner := keyRange.Holder.Address
-			if !ok || !keyRange.IsOpen() || owner == bucketOwners[bucket] {
+			holder := keyRange.Holder.Address
+			if !ok || !keyRange.IsOpen() || holder == bucketHolders[bucket] {
 				continue
 			}
-			if bucketOwners[bucket] != "" {
+			if bucketHolders[bucket] != "" {
 				c.moves[share.Service]++
 			}
-			bucketOwners[bucket] = owner
+			bucketHolders[bucket] = holder
 		}
 	}
 }
--- a/io/standin/stage/hosts.go
+++ b/io/standin/stage/hosts.go
@@ -32,7 +32,7 @@
 	return indexes
 }
 
-// StartDaemon starts an entry host's daemon, without any state of an earlier one.
+// StartDaemon starts an entry host's daemon, without any state of an earlier incarnation.
 func (c *Cluster) StartDaemon(i int) error {
 	h := c.hosts[i]
 	d, err := native.Start(h.prefs, native.WithLogger(c.log.With("host", h.prefs.MeshAddress)), native.WithOperatorHandler(admin.Handler))
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// KillDaemon ends an entry host's daemon at once, as SIGKILL does.
+// KillDaemon kills an entry host's daemon at once, as SIGKILL does.
 func (c *Cluster) KillDaemon(i int) {
 	c.mu.Lock()
 	h := c.hosts[i]
@@ -59,7 +59,7 @@
 	}
 }
 
-// StopDaemon shuts an entry host's daemon down gracefully.
+// StopDaemon stops an entry host's daemon gracefully.
 func (c *Cluster) StopDaemon(i int) error {
 	c.mu.Lock()
 	h := c.hosts[i]
@@ -89,9 +89,9 @@
 	return running
 }
 
-// BaselineHosts returns the number of entry hosts in the plan. Unlike HostCount, it also counts
-// them if the cluster runs without daemons.
-func (c *Cluster) BaselineHosts() int {
+// BaselineHostCount returns the number of entry hosts in the plan. Unlike HostCount, it also
+// counts them if the cluster runs without daemons.
+func (c *Cluster) BaselineHostCount() int {
 	n := 0
 	for _, h := range c.plan.HostsPerDataCentre {
 		n += h
@@ -99,8 +99,8 @@
 	return n
 }
 
-// BaselineAddress returns the address for an entry host of the baseline.
-func (c *Cluster) BaselineAddress(i int) string {
+// BaselineHostAddress returns the address for an entry host of the baseline.
+func (c *Cluster) BaselineHostAddress(i int) string {
 	return fmt.Sprintf("127.%d.200.%d:%d", c.secondOctet, i+1, callersPort)
 }
 
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -37,11 +37,11 @@
 		{Name: "maintenance", RetryShare: 0.1},
 	}}
 	hosts := map[string]int{}
-	for i, p := range dataCentres {
-		s.DataCentres = append(s.DataCentres, site.DataCentre{Name: p})
-		hosts[p] = 2
+	for i, dataCentre := range dataCentres {
+		s.DataCentres = append(s.DataCentres, site.DataCentre{Name: dataCentre})
+		hosts[dataCentre] = 2
 		if i == 0 {
-			hosts[p] = 3
+			hosts[dataCentre] = 3
 		}
 	}
 	nextServer := 0
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -36,7 +36,7 @@
 	Site site.Site
 	// HostsPerDataCentre is the number of entry hosts, by data centre.
 	HostsPerDataCentre map[string]int
-	// MeanServiceTime is the mean time that a request runs on a server.
+	// MeanServiceTime is the mean time that a request runs on a server that is not slowed down.
 	MeanServiceTime time.Duration
 }
 
@@ -114,8 +114,8 @@
 	return c, nil
 }
 
-// reserveAddresses finds a free range of addresses. A range is in use while the platform's
-// address in it is.
+// reserveAddresses finds a free range of addresses and listens on the platform's address in it,
+// which marks the range as in use.
 func (c *Cluster) reserveAddresses() (net.Listener, error) {
 	var lastErr error
 	for n := 20; n < 120; n++ {
@@ -197,7 +197,7 @@
 		return fmt.Errorf("stage: apply: %w", err)
 	}
 	for ctx.Err() == nil {
-		if c.allSettled() {
+		if c.allReady() {
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -205,7 +205,7 @@
 	return errors.New("stage: timed out waiting for a holder of every key")
 }
 
-func (c *Cluster) allSettled() bool {
+func (c *Cluster) allReady() bool {
 	for _, h := range c.runningHosts() {
 		if !h.daemon.Ready() || !h.daemon.AllRangesOpen() {
 			return false
@@ -214,7 +214,7 @@
 	return true
 }
 
-// Stop ends everything at once.
+// Stop kills the daemons and stops the stand-ins at once.
 func (c *Cluster) Stop() {
 	var wg sync.WaitGroup
 	for _, h := range c.runningHosts() {
@@ -235,8 +235,8 @@
 	return admin.NewClient(c.runningHosts()[0].prefs.OperatorAddress, "")
 }
 
-// ServersIn returns the addresses of a data centre's servers of a service; of all services if
-// the name is empty.
+// ServersIn returns the addresses of the servers of a service in a data centre; those of all
+// services if the service is empty.
 func (c *Cluster) ServersIn(dataCentre, service string) []string {
 	var addresses []string
 	d, _ := c.plan.Site.DataCentre(dataCentre)
--- a/io/standin/store/doc.go
+++ b/io/standin/store/doc.go
@@ -1,5 +1,5 @@
 // Package store is a stand-in for the platform's object API: versioned objects,
-// conditional updates, long-poll watches, rate limits, a list of hosts that shows
+// conditional writes, long-poll watches, rate limits, a list of hosts that shows
 // changes late, and injected faults. It keeps everything in memory and counts each
 // call by kind and data centre.
 //
--- a/io/standin/store/store.go
+++ b/io/standin/store/store.go
@@ -29,14 +29,14 @@
 	DownDataCentres []string `json:"downFor"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"slow"`
-	// LostReplyShare is the share of writes that take effect, but whose reply is lost.
-	LostReplyShare float64 `json:"loseReplies"`
+	// LostResponseShare is the share of writes that take effect, but whose response is lost.
+	LostResponseShare float64 `json:"loseReplies"`
 }
 
 // Option configures a Store.
 type Option func(*Store)
 
-// WithSeed seeds the random choice of lost replies; 1 by default.
+// WithSeed seeds the random choice of lost responses; 1 by default.
 func WithSeed(seed uint64) Option {
 	return func(s *Store) { s.rng = rand.New(rand.NewPCG(seed, 3)) }
 }
@@ -49,7 +49,7 @@
 	mu            sync.Mutex
 	revision      uint64
 	objects       map[string]object
-	changed       chan struct{} // closed and replaced when objects or faults change
+	changed       chan struct{} // closed and replaced when an object or the faults change
 	faults        Faults
 	callCounts    map[string]int
 	rng           *rand.Rand
@@ -129,7 +129,7 @@
 		writeJSON(w, s.CallCounts())
 		return
 	}
-	loseReply, ok := s.admit(w, r)
+	loseResponse, ok := s.admit(w, r)
 	if !ok {
 		return
 	}
@@ -138,7 +138,7 @@
 	case isObject && r.Method == http.MethodGet:
 		s.serveRead(w, name)
 	case isObject && r.Method == http.MethodPut:
-		s.serveWrite(w, r, name, loseReply)
+		s.serveWrite(w, r, name, loseResponse)
 	case r.URL.Path == "/watch":
 		s.serveWatch(w, r)
 	case r.URL.Path == "/hosts":
@@ -148,9 +148,9 @@
 	}
 }
 
-// admit counts the call and applies faults and rate limits. If loseReply is set, the write is
-// to take effect without a reply.
-func (s *Store) admit(w http.ResponseWriter, r *http.Request) (loseReply, ok bool) {
+// admit counts the call and applies faults and rate limits. If loseResponse is set, the write
+// takes effect, but its response is lost.
+func (s *Store) admit(w http.ResponseWriter, r *http.Request) (loseResponse, ok bool) {
 	dataCentre := r.Header.Get("Catkinstep-Data-Centre")
 	kind := "read"
 	switch {
@@ -162,7 +162,7 @@
 	s.mu.Lock()
 	s.callCounts[kind+" "+dataCentre]++
 	f := s.faults
-	loseReply = kind == "write" && s.rng.Float64() < f.LostReplyShare
+	loseResponse = kind == "write" && s.rng.Float64() < f.LostResponseShare
 	s.mu.Unlock()
 	if f.Delay > 0 {
 		select {
@@ -177,14 +177,14 @@
 	}
 	switch {
 	case isDown(f, dataCentre):
-		// The connection breaks. A status code would be a reply from a reachable platform.
+		// Breaks the connection, because a status code would mean that the platform can be reached.
 		panic(http.ErrAbortHandler)
 	case !limiter.Allow():
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return false, false
 	}
-	return loseReply, true
+	return loseResponse, true
 }
 
 func isDown(f Faults, dataCentre string) bool {
@@ -211,7 +211,7 @@
 	_, _ = w.Write(o.value)
 }
 
-func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, name string, loseReply bool) {
+func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, name string, loseResponse bool) {
 	wantVersion, err := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 	if err != nil {
 		http.Error(w, "If-Match must be a version", http.StatusBadRequest)
@@ -231,7 +231,7 @@
 		close(s.changed)
 		s.changed = make(chan struct{})
 		s.mu.Unlock()
-		if loseReply {
+		if loseResponse {
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set("Catkinstep-Version", strconv.FormatUint(current, 10))
@@ -320,7 +320,7 @@
 			return
 		}
 	}
-	s.SetFaults(Faults{Down: req.Down, DownDataCentres: req.DownDataCentres, Delay: delay, LostReplyShare: req.LostReplyShare})
+	s.SetFaults(Faults{Down: req.Down, DownDataCentres: req.DownDataCentres, Delay: delay, LostResponseShare: req.LostReplyShare})
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
