--- a/io/standin/server/dedup.go
+++ b/io/standin/server/dedup.go
@@ -45,9 +45,9 @@
 type dedupTable struct {
 	entries   map[scopedID]*dedupEntry
 	lastPurge time.Time
-	// completeSince is, by key, the time since which the table has an entry for every request.
-	// The zero time means that it has one for every request ever sent. A key that was never
-	// granted to this instance is absent.
+	// completeSince is, by key, the time since which the table has recorded every request. The
+	// zero time means that it has recorded every request ever sent. A key that was never granted
+	// to this instance is absent.
 	completeSince map[int]time.Time
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// covers reports whether the table would have an entry for a request that was sent for the
-// key at sentAt. If so, a request without an entry has not run.
+// covers reports whether the table has recorded every request that was sent for the key at
+// sentAt. If so, such a request without an entry has not run.
 func (t *dedupTable) covers(now time.Time, key int, sentAt time.Time) bool {
 	completeSince, ok := t.completeSince[key]
 	return ok && completeSince.Before(sentAt.Add(-maxTransitTime)) && now.Sub(sentAt) < dedupRetention
@@ -105,8 +105,8 @@
 
 // handover is the part of the table that the next holder of a key range receives.
 type handover struct {
-	// CompleteForMillis is how long the table has had an entry for every request for these
-	// keys; -1 means that it has one for every request ever sent.
+	// CompleteForMillis is how long the table has recorded every request for these keys; -1
+	// means that it has recorded every request ever sent.
 	CompleteForMillis int64           `json:"allForMillis"`
 	Entries           []handoverEntry `json:"bookings"`
 }
--- a/io/standin/server/dedup_test.go
+++ b/io/standin/server/dedup_test.go
@@ -13,8 +13,8 @@
 
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
-// Guards against a server that runs a non-idempotent request twice, or does not run one again
-// that it declined.
+// Guards against a server that runs a non-idempotent request twice, or that does not run a
+// declined request when it is sent again.
 func TestDedupTable(t *testing.T) {
 	Convey("An ID is added once, and later requests get the same response", t, func() {
 		table := newDedupTable()
--- a/io/standin/server/grant.go
+++ b/io/standin/server/grant.go
@@ -29,8 +29,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, keyGrant := range inst.grants[keyRange.From : keyRange.To+1] {
-		if keyGrant.fence > keyRange.Fence {
+	for _, granted := range inst.grants[keyRange.From : keyRange.To+1] {
+		if granted.fence > keyRange.Fence {
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
--- a/io/standin/server/server.go
+++ b/io/standin/server/server.go
@@ -44,7 +44,7 @@
 	// ColdPeriod is how long the server is cold after a start.
 	ColdPeriod time.Duration
 	// ColdRate is how many requests per second a cold server can handle; zero means that the
-	// server is never cold. Requests beyond it are recorded as overload.
+	// server is never cold. A much higher rate is recorded as overload.
 	ColdRate float64
 	Seed     uint64
 }
--- a/io/standin/store/store.go
+++ b/io/standin/store/store.go
@@ -301,10 +301,10 @@
 
 func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var req struct {
-		Down            bool     `json:"down"`
-		DownDataCentres []string `json:"downFor"`
-		Delay           string   `json:"slow"`
-		LostReplyShare  float64  `json:"loseReplies"`
+		Down              bool     `json:"down"`
+		DownDataCentres   []string `json:"downFor"`
+		Delay             string   `json:"slow"`
+		LostResponseShare float64  `json:"loseReplies"`
 	}
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
@@ -320,7 +320,7 @@
 			return
 		}
 	}
-	s.SetFaults(Faults{Down: req.Down, DownDataCentres: req.DownDataCentres, Delay: delay, LostResponseShare: req.LostReplyShare})
+	s.SetFaults(Faults{Down: req.Down, DownDataCentres: req.DownDataCentres, Delay: delay, LostResponseShare: req.LostResponseShare})
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
