--- a/io/standin/bench/bench.go
+++ b/io/standin/bench/bench.go
@@ -128,13 +128,13 @@
 	}
 	base.scenario = s
 	var rows []Row
-	for _, v := range base.variants {
+	for _, variant := range base.variants {
 		r := base
-		got, err := r.measure(ctx, name, v)
+		variantRows, err := r.measure(ctx, name, variant)
 		if err != nil {
 			return rows, err
 		}
-		rows = append(rows, got...)
+		rows = append(rows, variantRows...)
 	}
 	return rows, nil
 }
@@ -191,9 +191,9 @@
 		}
 		return nil
 	}
-	readyCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
+	configureCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	if err := r.cluster.Ready(readyCtx); err != nil {
+	if err := r.cluster.Configure(configureCtx); err != nil {
 		r.stop()
 		return err
 	}
--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -46,17 +46,17 @@
 	defer r.stop()
 	outage := Outage{Kind: kind, Trials: trials}
 	var gaps []time.Duration
-	for n := range trials {
+	for trial := range trials {
 		if ctx.Err() != nil {
 			return outage, ctx.Err()
 		}
-		gap, lastStart, err := r.measureOutage(ctx, kind, n)
+		gap, lastStart, err := r.measureOutage(ctx, kind, trial)
 		if err != nil {
 			return outage, err
 		}
 		gaps = append(gaps, gap)
 		outage.LastStart = max(outage.LastStart, Duration(lastStart))
-		r.progressf("trial %d: %v", n+1, gap.Round(time.Millisecond))
+		r.progressf("trial %d: %v", trial+1, gap.Round(time.Millisecond))
 	}
 	slices.Sort(gaps)
 	outage.Median, outage.Longest = Duration(gaps[len(gaps)/2]), Duration(gaps[len(gaps)-1])
@@ -187,15 +187,15 @@
 	callsBefore, bytesBefore := r.cluster.Store.CallCounts(), r.controlBytes()
 	time.Sleep(duration)
 	idle := Idle{Daemons: r.cluster.HostCount(), Period: Duration(duration), CallsPerMinute: map[string]int{}}
-	for k, n := range r.cluster.Store.CallCounts() {
-		if n -= callsBefore[k]; n > 0 {
-			idle.CallsPerMinute[k] = int(float64(n) / duration.Minutes())
+	for call, n := range r.cluster.Store.CallCounts() {
+		if n -= callsBefore[call]; n > 0 {
+			idle.CallsPerMinute[call] = int(float64(n) / duration.Minutes())
 		}
 	}
 	for i, n := range r.controlBytes() {
-		v := float64(n-bytesBefore[i]) / duration.Seconds()
-		idle.MaxBytesPerSecond = max(idle.MaxBytesPerSecond, v)
-		idle.MeanBytesPerSecond += v / float64(r.cluster.HostCount())
+		bytesPerSecond := float64(n-bytesBefore[i]) / duration.Seconds()
+		idle.MaxBytesPerSecond = max(idle.MaxBytesPerSecond, bytesPerSecond)
+		idle.MeanBytesPerSecond += bytesPerSecond / float64(r.cluster.HostCount())
 	}
 	return idle, nil
 }
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// departure takes a data centre out of service and back in.
+// departure takes a data centre out of service, and later back in.
 func departure(ctx context.Context, r *run) {
 	if !r.waitUntilFraction(ctx, 0.2) {
 		return
@@ -175,16 +175,16 @@
 		if !r.waitUntilFraction(ctx, fraction) {
 			return
 		}
-		index := hosts[i]
-		r.cluster.KillDaemon(index)
-		r.progressf("killed daemon %d", index)
+		host := hosts[i]
+		r.cluster.KillDaemon(host)
+		r.progressf("killed daemon %d", host)
 		if !r.waitUntilFraction(ctx, fraction+0.2) {
 			return
 		}
-		if err := r.cluster.StartDaemon(index); err != nil {
-			r.progressf("daemon %d: %v", index, err)
+		if err := r.cluster.StartDaemon(host); err != nil {
+			r.progressf("daemon %d: %v", host, err)
 		}
-		r.progressf("restarted daemon %d, without state", index)
+		r.progressf("restarted daemon %d, without state", host)
 	}
 }
 
@@ -222,26 +222,26 @@
 }
 
 func (r *run) usePreset(ctx context.Context, preset string) {
-	a, err := r.cluster.Operator().UsePreset(ctx, preset)
+	applied, err := r.cluster.Operator().UsePreset(ctx, preset)
 	if err != nil {
 		r.progressf("preset use %s: %v", preset, err)
 		return
 	}
-	r.progressf("preset %s is in force as version %d", a.Preset, a.Version)
+	r.progressf("preset %s is in force as version %d", applied.Preset, applied.Version)
 }
 
-func (r *run) restartDaemon(n int) {
-	if err := r.cluster.StartDaemon(n); err != nil {
+func (r *run) restartDaemon(host int) {
+	if err := r.cluster.StartDaemon(host); err != nil {
 		r.progressf("daemon: %v", err)
 		return
 	}
-	r.progressf("restarted the daemon on %s, without state", r.cluster.HostAddress(n))
+	r.progressf("restarted the daemon on %s, without state", r.cluster.HostAddress(host))
 }
 
-func (r *run) stopDaemon(n int) {
-	if err := r.cluster.StopDaemon(n); err != nil {
+func (r *run) stopDaemon(host int) {
+	if err := r.cluster.StopDaemon(host); err != nil {
 		r.progressf("graceful stop: %v", err)
 		return
 	}
-	r.progressf("the daemon on %s has shut down gracefully", r.cluster.HostAddress(n))
+	r.progressf("the daemon on %s has stopped gracefully", r.cluster.HostAddress(host))
 }
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -39,7 +39,7 @@
 type Balancer interface {
 	// Pick returns the address of an entry host. Different n spread requests over the hosts.
 	Pick(n uint64) string
-	// WasKilled reports whether an entry host was killed rather than shut down gracefully,
+	// WasKilled reports whether an entry host was killed rather than stopped gracefully,
 	// so that its callers' connections may have broken.
 	WasKilled(address string) bool
 }
@@ -80,7 +80,7 @@
 	AllLatency           *hdrhistogram.Histogram // of all idempotent requests; one that was not answered counts as at least the timeout
 	AnsweredLatency      *hdrhistogram.Histogram // of answered idempotent requests
 	NonIdempotentLatency *hdrhistogram.Histogram // of answered non-idempotent requests
-	LongestOutage        time.Duration           // longest time that requests for a key range failed
+	LongestOutage        time.Duration           // longest time that requests for a bucket of keys failed
 }
 
 // Generator sends the requests to one service.
@@ -160,17 +160,17 @@
 		if !waitUntil(ctx, dueAt) {
 			return
 		}
-		k := uint64(0)
+		keyIndex := uint64(0)
 		if zipf != nil {
-			k = zipf.Uint64()
+			keyIndex = zipf.Uint64()
 		} else {
-			k = rng.Uint64N(g.config.Keys)
+			keyIndex = rng.Uint64N(g.config.Keys)
 		}
-		call := call{
+		c := call{
 			id: fmt.Sprintf("%s-%d-%d", g.config.Service, g.config.Seed, number), dueAt: dueAt, number: number,
-			key: fmt.Sprintf("%s-%d", g.config.Service, k), nonIdempotent: rng.Float64() < g.config.NonIdempotentShare,
+			key: fmt.Sprintf("%s-%d", g.config.Service, keyIndex), nonIdempotent: rng.Float64() < g.config.NonIdempotentShare,
 		}
-		wg.Go(func() { g.send(call) })
+		wg.Go(func() { g.send(c) })
 	}
 }
 
@@ -209,35 +209,35 @@
 	g.recorder.RecordResult(lastAttempt.callerResult)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := &g.result
-	r.Requests++
+	totals := &g.result
+	totals.Requests++
 	if !c.nonIdempotent {
 		counted := latency
 		if lastAttempt.callerResult.Outcome != "answered" {
 			counted = max(latency, g.config.Timeout)
 		}
-		_ = r.AllLatency.RecordValue(min(max(1, counted.Microseconds()), maxLatencyMicros))
+		_ = totals.AllLatency.RecordValue(min(max(1, counted.Microseconds()), maxLatencyMicros))
 	}
 	switch lastAttempt.callerResult.Outcome {
 	case "answered":
-		r.Answered++
-		h := r.AnsweredLatency
+		totals.Answered++
+		histogram := totals.AnsweredLatency
 		if c.nonIdempotent {
-			h = r.NonIdempotentLatency
+			histogram = totals.NonIdempotentLatency
 		}
-		_ = h.RecordValue(min(max(1, latency.Microseconds()), maxLatencyMicros))
+		_ = histogram.RecordValue(min(max(1, latency.Microseconds()), maxLatencyMicros))
 		if since, ok := g.failingSince[bucketOf(c.key)]; ok {
-			r.LongestOutage = max(r.LongestOutage, time.Since(since))
+			totals.LongestOutage = max(totals.LongestOutage, time.Since(since))
 			delete(g.failingSince, bucketOf(c.key))
 		}
-		r.LongestOutage = max(r.LongestOutage, outageFromLatency(latency))
+		totals.LongestOutage = max(totals.LongestOutage, outageFromLatency(latency))
 	case "notRun":
-		r.NotRun++
-		r.ErrorCodes[lastAttempt.code]++
+		totals.NotRun++
+		totals.ErrorCodes[lastAttempt.code]++
 		g.recordFailure(c, lastAttempt.code)
 	default:
-		r.Unknown++
-		r.ErrorCodes[lastAttempt.code]++
+		totals.Unknown++
+		totals.ErrorCodes[lastAttempt.code]++
 		g.recordFailure(c, lastAttempt.code)
 	}
 }
@@ -254,7 +254,7 @@
 	}
 }
 
-// outageBuckets is the number of key buckets for which outages are measured separately.
+// outageBuckets is the number of buckets of keys whose outages are measured separately.
 const outageBuckets = 256
 
 func bucketOf(key string) int { return grant.HashKey(key) * outageBuckets / (grant.LastKey + 1) }
@@ -322,15 +322,15 @@
 func parseReply(c call, resp *http.Response, data []byte) attemptResult {
 	callerResult := oracle.CallerResult{ID: c.id, Outcome: resp.Header.Get("Catkinstep-Outcome")}
 	if callerResult.Outcome == "answered" {
-		var a struct {
+		var answered struct {
 			ID, Path string
 		}
-		callerResult.WrongReply = json.Unmarshal(data, &a) != nil || a.ID != c.id || !strings.Contains(a.Path, c.key)
+		callerResult.WrongReply = json.Unmarshal(data, &answered) != nil || answered.ID != c.id || !strings.Contains(answered.Path, c.key)
 		return attemptResult{callerResult: callerResult}
 	}
-	var f struct{ Code string }
-	_ = json.Unmarshal(data, &f)
-	return attemptResult{callerResult: callerResult, code: f.Code}
+	var failure struct{ Code string }
+	_ = json.Unmarshal(data, &failure)
+	return attemptResult{callerResult: callerResult, code: failure.Code}
 }
 
 // waitUntil blocks until the deadline. It returns false if the context ends first.
--- a/io/standin/server/serve.go
+++ b/io/standin/server/serve.go
@@ -138,8 +138,8 @@
 	}
 	inst.coldArrivals = slices.DeleteFunc(inst.coldArrivals, func(t time.Time) bool { return now.Sub(t) > time.Second })
 	inst.coldArrivals = append(inst.coldArrivals, now)
-	unannounced := !inst.unannouncedColdAt.IsZero() && now.Sub(inst.unannouncedColdAt) < unannouncedColdGrace+time.Second
-	if float64(len(inst.coldArrivals)) > s.config.ColdRate*coldRateFactor+coldBurst && !unannounced {
+	inUnannouncedGrace := !inst.unannouncedColdAt.IsZero() && now.Sub(inst.unannouncedColdAt) < unannouncedGrace+time.Second
+	if float64(len(inst.coldArrivals)) > s.config.ColdRate*coldRateFactor+coldBurst && !inUnannouncedGrace {
 		s.record(oracle.Run{Server: s.config.Address, DataCentre: s.config.DataCentre, Service: s.config.Service,
 			ID: q.id + " (too many while cold)", Idempotent: true, Start: now, End: now, Overload: true})
 	}
--- a/io/standin/server/server.go
+++ b/io/standin/server/server.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// unannouncedColdGrace is how long overload is not recorded after the server turned cold
+	// unannouncedGrace is how long overload is not recorded after the server turned cold
 	// without a restart, because routers can't know of it yet.
-	unannouncedColdGrace = 300 * time.Millisecond
+	unannouncedGrace = 300 * time.Millisecond
 	// A cold server is overloaded when more than coldRateFactor times its cold rate plus
 	// coldBurst requests arrive within a second.
 	coldRateFactor = 1.5
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -69,20 +69,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, share := range table.Services {
-		bucketHolders := c.holders[share.Service]
+	for _, ranges := range table.Services {
+		bucketHolders := c.holders[ranges.Service]
 		if bucketHolders == nil {
 			bucketHolders = make([]string, keeper.Buckets)
-			c.holders[share.Service] = bucketHolders
+			c.holders[ranges.Service] = bucketHolders
 		}
 		for bucket := range bucketHolders {
-			keyRange, ok := table.RangeOf(share.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
+			keyRange, ok := table.RangeOf(ranges.Service, bucket*(grant.LastKey+1)/keeper.Buckets)
 			holder := keyRange.Holder.Address
 			if !ok || !keyRange.IsOpen() || holder == bucketHolders[bucket] {
 				continue
 			}
 			if bucketHolders[bucket] != "" {
-				c.moves[share.Service]++
+				c.moves[ranges.Service]++
 			}
 			bucketHolders[bucket] = holder
 		}
--- a/io/standin/stage/plan.go
+++ b/io/standin/stage/plan.go
@@ -30,28 +30,28 @@
 
 // newPlan returns a plan that spreads the servers evenly over the data centres. Each data
 // centre has two entry hosts, and the first has one more.
-func newPlan(name string, dataCentres []string, services []site.Service, servers map[string]int) Plan {
+func newPlan(name string, dataCentres []string, services []site.Service, serverCounts map[string]int) Plan {
 	s := site.Site{Name: name, Presets: []site.Preset{
 		{Name: "ordinary", Active: true, RetryShare: 0.1},
 		{Name: "peak", RetryShare: 0.05},
 		{Name: "maintenance", RetryShare: 0.1},
 	}}
-	hosts := map[string]int{}
+	hostCounts := map[string]int{}
 	for i, dataCentre := range dataCentres {
 		s.DataCentres = append(s.DataCentres, site.DataCentre{Name: dataCentre})
-		hosts[dataCentre] = 2
+		hostCounts[dataCentre] = 2
 		if i == 0 {
-			hosts[dataCentre] = 3
+			hostCounts[dataCentre] = 3
 		}
 	}
 	nextServer := 0
-	for _, v := range services {
-		v.DefaultTimeout = 2 * time.Second
-		v.ColdRate = 40
-		s.Services = append(s.Services, v)
-		for range servers[v.Name] {
+	for _, service := range services {
+		service.DefaultTimeout = 2 * time.Second
+		service.ColdRate = 40
+		s.Services = append(s.Services, service)
+		for range serverCounts[service.Name] {
 			d := &s.DataCentres[nextServer%len(dataCentres)]
-			d.Servers = append(d.Servers, site.Server{Service: v.Name})
+			d.Servers = append(d.Servers, site.Server{Service: service.Name})
 			nextServer++
 		}
 	}
@@ -62,5 +62,5 @@
 	if err != nil {
 		panic(err) // one of this package's plans is invalid
 	}
-	return Plan{Site: s, HostsPerDataCentre: hosts, MeanServiceTime: 5 * time.Millisecond}
+	return Plan{Site: s, HostsPerDataCentre: hostCounts, MeanServiceTime: 5 * time.Millisecond}
 }
--- a/io/standin/stage/stage.go
+++ b/io/standin/stage/stage.go
@@ -6,7 +6,7 @@
 //
 //	c, err := stage.Start(stage.Lakeshore(), stage.WithSeed(1))
 //	defer c.Stop()
-//	err = c.Ready(ctx)
+//	err = c.Configure(ctx)
 //	c.KillDaemon(0)
 //
 // Errors say which component could not be started.
@@ -186,9 +186,9 @@
 	return nil
 }
 
-// Ready applies the site's configuration, as an operator does on a new site, and waits until
+// Configure applies the site's configuration, as an operator does on a new site, and waits until
 // every daemon is ready and every key has a holder that accepts requests.
-func (c *Cluster) Ready(ctx context.Context) error {
+func (c *Cluster) Configure(ctx context.Context) error {
 	data, err := c.plan.Site.Marshal()
 	if err != nil {
 		return err
