--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -93,7 +93,7 @@
 	return slices.Max(gaps), lastStart, nil
 }
 
-// dataCentreFor returns the name of the data centre for the n-th trial.
+// dataCentreFor returns the name of the data centre in which a trial causes its loss.
 func (r *run) dataCentreFor(trial int) string {
 	all := r.cluster.Site().DataCentres
 	return all[trial%len(all)].Name
--- a/io/standin/load/load.go
+++ b/io/standin/load/load.go
@@ -299,8 +299,8 @@
 }
 
 // connectionFailed returns the result of an attempt that got no reply. If the host refused the
-// connection or was killed, the request is retried if that is safe, as callers do. Any other
-// host has lost the request if its connection broke, unless the attempt timed out.
+// connection or was killed, the request is retried if that is safe, as callers do. Otherwise, the
+// host has lost the request, unless the attempt timed out.
 func (g *Generator) connectionFailed(c call, host string, err error) attemptResult {
 	refused := errors.Is(err, syscall.ECONNREFUSED)
 	var timeout net.Error
--- a/io/standin/stage/churn.go
+++ b/io/standin/stage/churn.go
@@ -40,7 +40,7 @@
 }
 
 // ExpectMoves adds the moves that an event makes necessary to the minimum: movesPerBucket for
-// each bucket that these servers hold now. It is 2 if the buckets move away and come back.
+// each bucket that these servers hold now, which is 2 if the buckets move away and come back.
 func (c *Churn) ExpectMoves(service string, servers []string, movesPerBucket int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
