--- a/io/standin/bench/outage.go
+++ b/io/standin/bench/outage.go
@@ -17,7 +17,7 @@
 type Outage struct {
 	Kind   string `json:"kind"`
 	Trials int    `json:"tries"`
-	// Median and Longest are over the trials. Each trial counts as the longest time that any
+	// Median and Longest are over the trials. The value of a trial is the longest time that any
 	// of the probed keys was not served.
 	Median  Duration `json:"median"`
 	Longest Duration `json:"longest"`
@@ -26,7 +26,7 @@
 	LastStart Duration `json:"lastWork"`
 }
 
-// OutageKinds returns the kinds of loss that MeasureOutages can cause.
+// OutageKinds returns the kinds of loss whose outages MeasureOutages can measure.
 func OutageKinds() []string {
 	return []string{"server", "frozenServer", "daemon", "leader", "dataCentre"}
 }
@@ -46,17 +46,17 @@
 	defer r.stop()
 	outage := Outage{Kind: kind, Trials: trials}
 	var gaps []time.Duration
-	for n := range trials {
+	for trial := range trials {
 		if ctx.Err() != nil {
 			return outage, ctx.Err()
 		}
-		gap, lastStart, err := r.measureOutage(ctx, kind, n)
+		gap, lastStart, err := r.measureOutage(ctx, kind, trial)
 		if err != nil {
 			return outage, err
 		}
 		gaps = append(gaps, gap)
 		outage.LastStart = max(outage.LastStart, Duration(lastStart))
-		r.progressf("trial %d: %v", n+1, gap.Round(time.Millisecond))
+		r.progressf("trial %d: %v", trial+1, gap.Round(time.Millisecond))
 	}
 	slices.Sort(gaps)
 	outage.Median, outage.Longest = Duration(gaps[len(gaps)/2]), Duration(gaps[len(gaps)-1])
@@ -67,7 +67,7 @@
 }
 
 // measureOutage causes one loss while the keys are probed, then repairs it.
-func (r *run) measureOutage(ctx context.Context, kind string, n int) (longest, lastStart time.Duration, err error) {
+func (r *run) measureOutage(ctx context.Context, kind string, trial int) (longest, lastStart time.Duration, err error) {
 	probeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	gaps := make([]time.Duration, probeCount)
@@ -76,7 +76,7 @@
 		wg.Go(func() { gaps[i] = r.longestGap(probeCtx, fmt.Sprintf("probe-%d", i)) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	repair, lossAt, err := r.causeLoss(ctx, kind, n)
+	repair, lossAt, err := r.causeLoss(ctx, kind, trial)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -84,7 +84,7 @@
 	cancel()
 	wg.Wait()
 	if kind == "dataCentre" {
-		lastStart = r.cluster.Oracle.LastStartAfter(r.dataCentreFor(n), lossAt)
+		lastStart = r.cluster.Oracle.LastStartAfter(r.dataCentreFor(trial), lossAt)
 	}
 	if err := repair(); err != nil {
 		return 0, 0, err
@@ -93,24 +93,25 @@
 	return slices.Max(gaps), lastStart, nil
 }
 
-// dataCentreFor returns the name of the data centre for the n-th trial.
-func (r *run) dataCentreFor(n int) string {
+// dataCentreFor returns the name of the data centre in which a trial causes its loss.
+func (r *run) dataCentreFor(trial int) string {
 	all := r.cluster.Site().DataCentres
-	return all[n%len(all)].Name
+	return all[trial%len(all)].Name
 }
 
-// causeLoss causes a loss. It returns a function that repairs it, and when it was caused.
-func (r *run) causeLoss(ctx context.Context, kind string, n int) (repair func() error, causedAt time.Time, err error) {
-	dataCentre := r.dataCentreFor(n)
+// causeLoss causes a loss. It returns a function that repairs the loss, and the time at which
+// the loss was caused.
+func (r *run) causeLoss(ctx context.Context, kind string, trial int) (repair func() error, causedAt time.Time, err error) {
+	dataCentre := r.dataCentreFor(trial)
 	switch kind {
 	case "server", "frozenServer":
-		keyed := ""
+		keyedService := ""
 		for _, s := range r.cluster.Site().Services {
 			if s.Keyed {
-				keyed = s.Name
+				keyedService = s.Name
 			}
 		}
-		s := r.cluster.Servers[r.cluster.ServersIn(dataCentre, keyed)[n%3]]
+		s := r.cluster.Servers[r.cluster.ServersIn(dataCentre, keyedService)[trial%3]]
 		if kind == "server" {
 			s.Stop()
 			return s.Start, time.Now(), nil
@@ -134,14 +135,14 @@
 	}, time.Now(), err
 }
 
-// longestGap requests one key in a loop and returns the longest time from one successful
-// response to the next.
+// longestGap sends requests for one key in a loop and returns the longest time from one
+// successful reply to the next.
 func (r *run) longestGap(ctx context.Context, key string) time.Duration {
 	client := &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: false, MaxIdleConnsPerHost: 2}}
-	keyed := strings.SplitN(r.exampleRoute(), "/", 2)[0]
+	keyedService := strings.SplitN(r.exampleRoute(), "/", 2)[0]
 	lastAnswered, longest := time.Now(), time.Duration(0)
 	for n := uint64(0); ctx.Err() == nil; n++ {
-		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyed+"/items/"+key, nil)
+		req, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+r.Pick(n)+"/"+keyedService+"/items/"+key, nil)
 		if err != nil {
 			return longest
 		}
@@ -186,15 +187,15 @@
 	callsBefore, bytesBefore := r.cluster.Store.CallCounts(), r.controlBytes()
 	time.Sleep(duration)
 	idle := Idle{Daemons: r.cluster.HostCount(), Period: Duration(duration), CallsPerMinute: map[string]int{}}
-	for k, n := range r.cluster.Store.CallCounts() {
-		if n -= callsBefore[k]; n > 0 {
-			idle.CallsPerMinute[k] = int(float64(n) / duration.Minutes())
+	for call, n := range r.cluster.Store.CallCounts() {
+		if n -= callsBefore[call]; n > 0 {
+			idle.CallsPerMinute[call] = int(float64(n) / duration.Minutes())
 		}
 	}
 	for i, n := range r.controlBytes() {
-		v := float64(n-bytesBefore[i]) / duration.Seconds()
-		idle.MaxBytesPerSecond = max(idle.MaxBytesPerSecond, v)
-		idle.MeanBytesPerSecond += v / float64(r.cluster.HostCount())
+		bytesPerSecond := float64(n-bytesBefore[i]) / duration.Seconds()
+		idle.MaxBytesPerSecond = max(idle.MaxBytesPerSecond, bytesPerSecond)
+		idle.MeanBytesPerSecond += bytesPerSecond / float64(r.cluster.HostCount())
 	}
 	return idle, nil
 }
--- a/io/standin/bench/scenario.go
+++ b/io/standin/bench/scenario.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// ScenarioNames returns the scenarios of the benchmarks. The demo's, story, is not among them.
+// ScenarioNames returns the names of the benchmarks' scenarios. It omits story, which only the
+// demo runs.
 func ScenarioNames() []string {
 	return []string{"steady", "slowed", "departure", "turnsCold", "hotKey", "serverLoss", "hostLoss"}
 }
@@ -54,7 +55,7 @@
 		}
 		var slowServers []*server.Server
 		for _, s := range r.cluster.Site().Services {
-			all := r.servers(s.Name)
+			all := r.serverAddresses(s.Name)
 			for i := range max(1, len(all)/5) {
 				v := r.cluster.Servers[all[(i*5+phase*2)%len(all)]]
 				v.SetFaults(server.Faults{SlowdownFactor: 10})
@@ -62,18 +63,18 @@
 			}
 		}
 		r.progressf("%d servers are ten times slower", len(slowServers))
-		inTime := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
+		reached := r.waitUntilFraction(ctx, 0.1+float64(phase)*0.3+0.15)
 		for _, v := range slowServers {
 			v.SetFaults(server.Faults{})
 		}
 		r.progressf("the slowed servers are back to normal speed")
-		if !inTime {
+		if !reached {
 			return
 		}
 	}
 }
 
-// departure takes a data centre out of service and back in.
+// departure takes a data centre out of service, and later back in.
 func departure(ctx context.Context, r *run) {
 	if !r.waitUntilFraction(ctx, 0.2) {
 		return
@@ -117,14 +118,14 @@
 		return
 	}
 	for _, s := range r.cluster.Site().Services {
-		r.cluster.Servers[r.servers(s.Name)[0]].TurnCold()
+		r.cluster.Servers[r.serverAddresses(s.Name)[0]].TurnCold()
 	}
 	r.progressf("a server of each service has turned cold without a restart")
 	if !r.waitUntilFraction(ctx, 0.5) {
 		return
 	}
 	for _, s := range r.cluster.Site().Services {
-		v := r.cluster.Servers[r.servers(s.Name)[1]]
+		v := r.cluster.Servers[r.serverAddresses(s.Name)[1]]
 		v.Stop()
 		if err := v.Start(); err != nil {
 			r.progressf("restart: %v", err)
@@ -147,7 +148,7 @@
 
 func (r *run) crashServers() {
 	for _, s := range r.cluster.Site().Services {
-		lost := r.servers(s.Name)[2]
+		lost := r.serverAddresses(s.Name)[2]
 		r.churn.ExpectMoves(s.Name, []string{lost}, 2)
 		r.cluster.Servers[lost].Stop()
 	}
@@ -156,7 +157,7 @@
 
 func (r *run) restartServers() {
 	for _, s := range r.cluster.Site().Services {
-		if err := r.cluster.Servers[r.servers(s.Name)[2]].Start(); err != nil {
+		if err := r.cluster.Servers[r.serverAddresses(s.Name)[2]].Start(); err != nil {
 			r.progressf("restart: %v", err)
 		}
 	}
@@ -174,16 +175,16 @@
 		if !r.waitUntilFraction(ctx, fraction) {
 			return
 		}
-		index := hosts[i]
-		r.cluster.KillDaemon(index)
-		r.progressf("killed daemon %d", index)
+		host := hosts[i]
+		r.cluster.KillDaemon(host)
+		r.progressf("killed daemon %d", host)
 		if !r.waitUntilFraction(ctx, fraction+0.2) {
 			return
 		}
-		if err := r.cluster.StartDaemon(index); err != nil {
-			r.progressf("daemon %d: %v", index, err)
+		if err := r.cluster.StartDaemon(host); err != nil {
+			r.progressf("daemon %d: %v", host, err)
 		}
-		r.progressf("restarted daemon %d, without state", index)
+		r.progressf("restarted daemon %d, without state", host)
 	}
 }
 
@@ -191,7 +192,7 @@
 func story(ctx context.Context, r *run) {
 	host := r.cluster.HostCount() - 1
 	dataCentre := r.cluster.Site().DataCentres[2].Name
-	slowServer := r.servers(r.cluster.Site().Services[0].Name)[4]
+	slowServer := r.serverAddresses(r.cluster.Site().Services[0].Name)[4]
 	for _, step := range []struct {
 		fraction float64
 		do       func()
@@ -221,26 +222,26 @@
 }
 
 func (r *run) usePreset(ctx context.Context, preset string) {
-	a, err := r.cluster.Operator().UsePreset(ctx, preset)
+	applied, err := r.cluster.Operator().UsePreset(ctx, preset)
 	if err != nil {
 		r.progressf("preset use %s: %v", preset, err)
 		return
 	}
-	r.progressf("preset %s is in force as version %d", a.Preset, a.Version)
+	r.progressf("preset %s is in force as version %d", applied.Preset, applied.Version)
 }
 
-func (r *run) restartDaemon(n int) {
-	if err := r.cluster.StartDaemon(n); err != nil {
+func (r *run) restartDaemon(host int) {
+	if err := r.cluster.StartDaemon(host); err != nil {
 		r.progressf("daemon: %v", err)
 		return
 	}
-	r.progressf("restarted the daemon on %s, without state", r.cluster.HostAddress(n))
+	r.progressf("restarted the daemon on %s, without state", r.cluster.HostAddress(host))
 }
 
-func (r *run) stopDaemon(n int) {
-	if err := r.cluster.StopDaemon(n); err != nil {
+func (r *run) stopDaemon(host int) {
+	if err := r.cluster.StopDaemon(host); err != nil {
 		r.progressf("graceful stop: %v", err)
 		return
 	}
-	r.progressf("the daemon on %s has shut down gracefully", r.cluster.HostAddress(n))
+	r.progressf("the daemon on %s has stopped gracefully", r.cluster.HostAddress(host))
 }
