--- a/cmd/catkinstep/standin.go
+++ b/cmd/catkinstep/standin.go
@@ -64,7 +64,9 @@
 	Servers []string `arg:"" help:"Addresses of server stand-ins."`
 }
 
-// Run fetches the requests that the servers ran and prints the oracle's verdict.
+// Run fetches the requests that the server stand-ins ran and passes them to the oracle, which
+// checks them against the guarantees of the product. It prints the oracle's verdict, which holds
+// the violations by kind, and returns an error if there are any.
 func (v *verdictCmd) Run(ctx context.Context) error {
 	o := oracle.New()
 	for _, address := range v.Servers {
--- a/io/connection/link/link.go
+++ b/io/connection/link/link.go
@@ -17,11 +17,11 @@
 
 const (
 	// dialTimeout bounds the attempt to connect to a host that is down and sends no
-	// reply at all. Connecting normally takes about a millisecond.
+	// reply at all. A connection to a host that is up takes about a millisecond.
 	dialTimeout = 300 * time.Millisecond
-	// maxIdleTime is how long an idle connection is reused at most, also if the server
-	// announces no idle timeout. It is below the ten seconds after which servers were
-	// observed to close idle connections.
+	// maxIdleTime is the longest time for which a connection may be idle and still be reused,
+	// even if the server announces a longer idle timeout or none. Servers close idle
+	// connections after ten seconds, and a request must not be sent at that moment.
 	maxIdleTime = 4 * time.Second
 	// idleTimeMargin is subtracted from the idle timeout that a server announces. The
 	// server starts its timer at another moment, and a request must not be sent while
@@ -33,13 +33,14 @@
 	readBufferSize = 2048
 )
 
-// Client sends requests to one instance of a server, up to its restart, and pools the
-// connections to it. It is safe for concurrent use.
+// Client sends requests to one instance of a server and pools the connections to it. After a
+// restart, the server is another instance and needs another Client. Client is safe for
+// concurrent use.
 type Client struct {
-	address  string
-	serverID string
-	names    names.Names
-	maxIdle  int
+	address      string
+	serverID     string
+	names        names.Names
+	maxIdleConns int
 
 	mu        sync.Mutex
 	idleConns []*conn
@@ -55,9 +56,9 @@
 
 // New returns a Client for the server instance at an address. It sends serverID in the
 // instance header, by which any other server recognises that a request is not meant for it.
-// It keeps up to maxIdle idle connections.
-func New(address, serverID string, n names.Names, maxIdle int) *Client {
-	return &Client{address: address, serverID: serverID, names: n, maxIdle: maxIdle}
+// It keeps up to maxIdleConns idle connections.
+func New(address, serverID string, n names.Names, maxIdleConns int) *Client {
+	return &Client{address: address, serverID: serverID, names: n, maxIdleConns: maxIdleConns}
 }
 
 // Close closes the idle connections. Those in use are closed after their requests.
@@ -107,7 +108,7 @@
 func (cl *Client) putIdleConn(c *conn) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.closed || len(cl.idleConns) >= cl.maxIdle {
+	if cl.closed || len(cl.idleConns) >= cl.maxIdleConns {
 		_ = c.Close()
 		return
 	}
--- a/io/connection/mesh/shared_test.go
+++ b/io/connection/mesh/shared_test.go
@@ -16,8 +16,8 @@
 	"catkinstep/core/connection/wire"
 )
 
-func fetchCall(kind string) *wire.Call {
-	return &wire.Call{Kind: &wire.Call_Fetch{Fetch: &wire.Fetch{Kind: kind}}}
+func fetchCall(label string) *wire.Call {
+	return &wire.Call{Kind: &wire.Call_Fetch{Fetch: &wire.Fetch{Kind: label}}}
 }
 
 // Guards against taking a reply on the shared stream for the reply to another call.
--- a/io/connection/sock/sock.go
+++ b/io/connection/sock/sock.go
@@ -21,7 +21,7 @@
 // Control returns a function for the Control field of net.Dialer that sets the TCP user timeout
 // of new connections.
 func Control(timeout time.Duration) func(network, address string, rc syscall.RawConn) error {
-	return func(_, _ string, rc syscall.RawConn) error { return setUserTimeoutOption(rc, timeout) }
+	return func(_, _ string, rc syscall.RawConn) error { return setRawConnTimeout(rc, timeout) }
 }
 
 // SetUserTimeout sets the TCP user timeout of a connection. It does nothing if the
@@ -35,10 +35,11 @@
 	if err != nil {
 		return err
 	}
-	return setUserTimeoutOption(rc, timeout)
+	return setRawConnTimeout(rc, timeout)
 }
 
-func setUserTimeoutOption(rc syscall.RawConn, timeout time.Duration) error {
+// setRawConnTimeout sets the TCP user timeout of a socket.
+func setRawConnTimeout(rc syscall.RawConn, timeout time.Duration) error {
 	var optionErr error
 	err := rc.Control(func(fd uintptr) {
 		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
--- a/io/process/native/daemon.go
+++ b/io/process/native/daemon.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// gracePeriod covers the time in which a stopping daemon still accepts connections, until
-	// load balancers notice that it is not ready, and twice the duration of the longest usual
-	// request.
+	// gracePeriod is how long a daemon may take to stop. At first, it still accepts connections,
+	// until load balancers have noticed that it is not ready. The rest of the time is enough for
+	// twice the duration of the longest usual request.
 	gracePeriod = 10 * time.Second
 	// coldFactor and coldSlack limit the requests that all daemons together send to a cold
-	// server in a second; see setup.Settings. The backend server stand-ins can handle as much.
+	// server in a second; see setup.Settings. The stand-ins for backend servers can handle that
+	// many while they are cold.
 	coldFactor = 1.5
 	coldSlack  = 5
 	// retryShare applies if the active preset sets none. retryBurst is how many retries all
@@ -58,7 +59,8 @@
 	return func(options *startOptions) { options.operatorHandler = newHandler }
 }
 
-// RouterSettings converts the settings file of a daemon to the settings of its router.
+// RouterSettings converts the settings file of a daemon, which package prefs reads, to the
+// settings of its router. The file calls the seeds peers.
 func RouterSettings(p prefs.Prefs) setup.Settings {
 	return setup.Settings{
 		Name: p.MeshAddress, DataCentre: p.DataCentre, CallerAddress: p.CallerAddress, MeshAddress: p.MeshAddress, Seeds: p.Peers,
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -21,7 +21,8 @@
 	ReleasePath = "/catkinstep/release"
 )
 
-// Headers between callers and daemons, in addition to those of names.Default.
+// Headers between callers and daemons. Callers may also send the ID and FirstSent headers of
+// names.Default, and every reply to a caller has the ID header.
 const (
 	HeaderKey            = "Catkinstep-Key"
 	HeaderTimeout        = "Catkinstep-Timeout"
@@ -66,7 +67,8 @@
 // Protocol implements router.Protocol.
 type Protocol struct{}
 
-// Names returns the names of the headers between daemons and backend servers.
+// Names returns the names of the headers between daemons and backend servers. Some of them, such
+// as the request ID, are exchanged with callers as well.
 func (Protocol) Names() names.Names { return names.Default() }
 
 // Grant returns the request that grants a range of keys to a server.
--- a/io/process/native/store.go
+++ b/io/process/native/store.go
@@ -22,7 +22,7 @@
 }
 
 // Store reads and writes the product's own objects on the platform. It implements
-// router.Store.
+// router.Store. The platform's version of an object becomes the revision of an object.Item.
 type Store struct{ client *plat.Client }
 
 // NewStore returns a Store that uses a client of the platform.
@@ -33,7 +33,7 @@
 func (s *Store) List(ctx context.Context, kind object.Kind, _ bool) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, objectPrefixes[kind], 0, 0)
 	if err != nil {
-		return object.Delta{}, newUnreachableError("list "+string(kind), err)
+		return object.Delta{}, newStoreError("list "+string(kind), err)
 	}
 	d, err := newDelta(kind, c)
 	d.Whole = true
@@ -44,7 +44,7 @@
 func (s *Store) Watch(ctx context.Context, kind object.Kind, since uint64, wait time.Duration) (object.Delta, error) {
 	c, err := s.client.Watch(ctx, objectPrefixes[kind], since, wait)
 	if err != nil {
-		return object.Delta{}, newUnreachableError("watch "+string(kind), err)
+		return object.Delta{}, newStoreError("watch "+string(kind), err)
 	}
 	d, err := newDelta(kind, c)
 	d.Through = max(d.Through, since)
@@ -55,7 +55,7 @@
 func (s *Store) Read(ctx context.Context, kind object.Kind, name string) (object.Item, error) {
 	o, err := s.client.Read(ctx, objectPrefixes[kind]+name)
 	if err != nil {
-		return object.Item{}, newUnreachableError("read "+name, err)
+		return object.Item{}, newStoreError("read "+name, err)
 	}
 	if o == nil {
 		return object.Item{}, &object.Error{Op: "read " + name, Kind: object.Missing, Err: errNoObject}
@@ -74,7 +74,7 @@
 	case plat.IsKind(err, plat.OutcomeUnknown):
 		return object.Item{}, &object.Error{Op: op, Kind: object.OutcomeUnknown, Err: err}
 	case !plat.IsKind(err, plat.Conflict):
-		return object.Item{}, newUnreachableError(op, err)
+		return object.Item{}, newStoreError(op, err)
 	}
 	current, readErr := s.Read(ctx, kind, name)
 	if readErr != nil {
@@ -85,7 +85,9 @@
 
 var errNoObject = errors.New("there is no such object")
 
-func newUnreachableError(op string, err error) error {
+// newStoreError returns an error of the kind Unreachable. It is used both if the platform cannot
+// be reached and if it returns a malformed site.
+func newStoreError(op string, err error) error {
 	return &object.Error{Op: op, Kind: object.Unreachable, Err: err}
 }
 
@@ -103,10 +105,10 @@
 		}
 		stored, err := site.Unmarshal(o.Value)
 		if err != nil {
-			return d, newUnreachableError("read the site", err)
+			return d, newStoreError("read the site", err)
 		}
 		if d.Items, err = siteItems(kind, stored, o.Version); err != nil {
-			return d, newUnreachableError("read the site", err)
+			return d, newStoreError("read the site", err)
 		}
 		d.Whole = true
 	}
--- a/io/process/router/piggyback.go
+++ b/io/process/router/piggyback.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// piggybackDuration is how long an item is added to every gossip message.
+	// piggybackDuration is how long a daemon adds an item to its gossip messages.
 	piggybackDuration = 1500 * time.Millisecond
 	// maxPiggybackItems limits the items of one kind in a gossip message.
 	maxPiggybackItems = 32
 )
 
-// piggybackBuffer holds recent items that are added to every gossip message. A daemon that
-// receives a new item forwards it in the same way, once, so that it also reaches daemons to
-// which its origin has no connection.
+// piggybackBuffer holds recent items, which a daemon adds to all its gossip messages for
+// piggybackDuration. A daemon that receives an item for the first time adds it to its own buffer,
+// so that the item also reaches daemons to which its origin has no connection. It ignores an
+// item that it has received before.
 type piggybackBuffer[T any] struct{ items []timedItem[T] }
 
 type timedItem[T any] struct {
--- a/io/process/router/servers_test.go
+++ b/io/process/router/servers_test.go
@@ -12,10 +12,10 @@
 	"catkinstep/core/version/object"
 )
 
-// Guards against a log line for every server from every daemon, which would crowd out the
-// lines about requests. Only the leader and the daemon that read the store log each server.
+// Guards against a log line for every server from every daemon: so many lines that those about
+// requests would be dropped. Only the leader and the daemon that read the store log each server.
 func TestServerChangesAreLoggedTogether(t *testing.T) {
-	Convey("Hundreds of servers that are added or removed together are logged in one line", t, func() {
+	Convey("Hundreds of servers that are added together are logged in one line, as are those that are removed together", t, func() {
 		var logged bytes.Buffer
 		r := newTestRouter()
 		r.log = slog.New(slog.NewJSONHandler(&logged, nil))
--- a/io/process/router/suspect.go
+++ b/io/process/router/suspect.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// crashThreshold is the number of lost servers at which a request is refused. The loss of
+	// crashThreshold is the number of lost servers from which a request is refused. The loss of
 	// one server may be a coincidence, but hardly that of three without a response in between.
 	crashThreshold = 3
 	// crashRetention is how long after the last lost server a request remains a crash suspect.
@@ -44,17 +44,17 @@
 	}
 }
 
-// clearSuspect forgets the servers that were lost while a request ran, since the request has
-// got a response: one that crashes servers never gets any.
+// clearSuspect forgets the servers that were lost while a request may have run there, since the
+// request has got a response: one that crashes servers never gets any.
 func (r *Router) clearSuspect(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.suspects.RecordResponse(req.fingerprint)
 }
 
-// checkCrashSuspect reports whether a request is refused because at least crashThreshold servers
-// were lost while it ran. It also sets the request's LastResort to the lost servers, so that a
-// request that is not refused avoids them if it can.
+// checkCrashSuspect looks up the servers that were lost while a request may have run there. It
+// sets the request's LastResort to them, so that further attempts avoid them if possible. It
+// returns true if the request must be refused because there are crashThreshold or more of them.
 func (r *Router) checkCrashSuspect(req *request) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,9 +69,10 @@
 	return r.suspectBuffer.list(time.Now())
 }
 
-// mergeSuspects records servers that other daemons lost while requests ran, and forwards the new
-// ones with this daemon's gossip. It reports whether a request is refused from now on.
-func (r *Router) mergeSuspects(suspects []*wire.Suspect) (refused bool) {
+// mergeSuspects records the servers that other daemons lost while requests may have run there,
+// and adds the new records to this daemon's gossip. It reports whether any of the requests with
+// a new record must be refused.
+func (r *Router) mergeSuspects(suspects []*wire.Suspect) (anyRefused bool) {
 	if len(suspects) == 0 {
 		return false
 	}
@@ -83,7 +84,7 @@
 			continue
 		}
 		r.suspectBuffer.add(now, s)
-		refused = refused || r.suspects.ShouldRefuse(now, s.Fingerprint)
+		anyRefused = anyRefused || r.suspects.ShouldRefuse(now, s.Fingerprint)
 	}
-	return refused
+	return anyRefused
 }
