--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -14,7 +14,7 @@
 
 const (
 	// maxPipelined is how many requests of one connection may wait for their responses.
-	// Callers were observed to pipeline somewhat fewer.
+	// Callers pipeline somewhat fewer.
 	maxPipelined = 16
 	// acceptRetryDelay is the delay after a failed accept, for example because there are
 	// no free file descriptors.
--- a/io/process/logs/logs.go
+++ b/io/process/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs provides an io.Writer for log lines that never blocks the caller. Lines wait
+// Package logs provides an io.Writer for log lines whose Write never blocks. Lines wait
 // in a bounded queue. Lines that do not fit are dropped, and a log line reports how many.
 //
 // # Usage
@@ -16,11 +16,11 @@
 )
 
 const (
-	// queueCapacity is how many lines may wait. That is about as many as a daemon was
-	// measured to write in a second while all requests failed.
+	// queueCapacity is how many lines may wait. That is about as many as a daemon writes in a
+	// second while all requests fail.
 	queueCapacity = 512
-	// maxLinesPerSecond limits the volume, so that logging stays cheap while very many
-	// requests are refused; further lines are dropped and counted. 200 lines are about 60 KB.
+	// maxLinesPerSecond limits the output, so that logging stays cheap while very many
+	// requests are refused. Further lines are dropped and counted. 200 lines are about 60 KB.
 	maxLinesPerSecond = 200
 )
 
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -201,8 +201,8 @@
 			a := ts.send(d, http.MethodGet, "/workshop/benches/7", "")
 			return a.status == http.StatusOK && a.answer.Server != excluded
 		}), ShouldBeTrue)
-		// The oracle accepts new requests in the first two seconds after an exclusion. The server
-		// gets none any more, so these seconds are set in the past.
+		// The oracle allows new requests in the first two seconds after an exclusion. The server
+		// must not get any now, so the exclusion is recorded as two seconds old.
 		ts.oracle.RecordExclusion("", excluded, time.Now().Add(-2*time.Second))
 		for range 10 {
 			So(ts.send(d, http.MethodGet, "/workshop/benches/7", "").answer.Server, ShouldNotEqual, excluded)
--- a/io/process/native/retry_test.go
+++ b/io/process/native/retry_test.go
@@ -26,7 +26,7 @@
 }
 
 // postStatus sends a booking and returns the status of the response only, for error responses
-// of servers, whose bodies are neither a server.Answer nor a native.ErrorBody.
+// of servers, whose bodies are neither a server.Response nor a native.ErrorBody.
 func (ts *testSite) postStatus(d *native.Daemon, id, path string) int {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+d.Prefs().CallerAddress+path, nil)
 	So(err, ShouldBeNil)
@@ -41,7 +41,7 @@
 // closes the connection before the end of the response. It returns the holder.
 func (ts *testSite) sendBookingAndLoseResponse(d *native.Daemon) (holder string) {
 	holder = ts.send(d, http.MethodGet, benchPath, "").answer.Server
-	ts.servers[holder].SetFaults(server.Faults{TruncatedShare: 1}) // a share: all responses are cut
+	ts.servers[holder].SetFaults(server.Faults{TruncatedShare: 1}) // of all responses
 	So(ts.sendBooking(d).failure.Outcome, ShouldEqual, native.OutcomeUnknown)
 	ts.servers[holder].SetFaults(server.Faults{})
 	return holder
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -80,8 +80,8 @@
 	return latencyTargetFactor * svc.Objectives.LatencyThreshold
 }
 
-// serversOf lists the servers of a site. They do not register themselves, so that only their
-// responses show whether two instances have run at the same address.
+// serversOf lists the servers of a site. Their start times are unknown, since they do not register
+// themselves: only their responses show that another instance now runs at the same address.
 func serversOf(s site.Site) []fleet.Server {
 	var servers []fleet.Server
 	for _, d := range s.DataCentres {
--- a/io/process/prefs/prefs.go
+++ b/io/process/prefs/prefs.go
@@ -35,7 +35,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Prefs are the settings of a daemon. Addresses are IP addresses with ports.
+// Prefs are the contents of a daemon's settings file. Package native converts them to the
+// setup.Settings that package router takes. Addresses are IP addresses with ports.
 type Prefs struct {
 	// DataCentre is the name of the data centre of the host.
 	DataCentre string `yaml:"dataCentre"`
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -38,9 +38,9 @@
 		resp, err := r.send(ctx, req, server)
 		r.releasePermit(req)
 		if err != nil && link.NotRun(err) {
-			req.unsent++
+			req.unsentAttempts++
 		} else {
-			req.arrived++
+			req.sentAttempts++
 		}
 		reply, sendAgain := r.evaluateAttempt(ctx, req, server, choice, resp, err)
 		if !sendAgain {
@@ -77,10 +77,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	choice := r.spread.Choose(now, req.requirements, snap.serving[req.service.Name])
+	choice := r.balancer.Choose(now, req.requirements, snap.serving[req.service.Name])
 	if !choice.Refused() || choice.RefusalUncertain() {
 		req.attemptStart = now
-		r.spread.Begin(now, choice.Server, req.requirements)
+		r.balancer.Begin(now, choice.Server, req.requirements)
 	}
 	return choice.Server, choice
 }
@@ -100,10 +100,10 @@
 	if !rangeFound || !keyRange.IsOpen() || !holderAlive || !snap.mayServe(server) {
 		return server, r.closedRangeChoice(now, req, keyRange, holderAlive)
 	}
-	choice := r.spread.Evaluate(now, req.requirements, server)
+	choice := r.balancer.Evaluate(now, req.requirements, server)
 	if !choice.Refused() || choice.RefusalUncertain() {
 		req.attemptStart = now
-		r.spread.Begin(now, server, req.requirements)
+		r.balancer.Begin(now, server, req.requirements)
 	}
 	return server, choice
 }
@@ -136,7 +136,7 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.End(now, server, req.requirements, req.attemptStart, attemptOutcome(ctx, resp, err), loadReport(resp))
+	r.balancer.End(now, server, req.requirements, req.attemptStart, attemptOutcome(ctx, resp, err), loadReport(resp))
 	return resp, err
 }
 
@@ -218,7 +218,7 @@
 
 // retryState describes the attempts so far, the last of which failed.
 func (r *Router) retryState(req *request, notRun bool) retry.State {
-	return retry.State{Idempotent: req.route.Idempotent, NotRun: notRun, MaybeRan: req.maybeRan, SentAttempts: req.arrived, UnsentAttempts: req.unsent,
+	return retry.State{Idempotent: req.route.Idempotent, NotRun: notRun, MaybeRan: req.maybeRan, SentAttempts: req.sentAttempts, UnsentAttempts: req.unsentAttempts,
 		CrashSuspect: r.checkCrashSuspect(req), MaxAttempts: req.route.MaxAttempts, TimeLeft: time.Until(req.deadline), MinLatency: r.minRetryLatency(req)}
 }
 
@@ -237,7 +237,7 @@
 func (r *Router) minRetryLatency(req *request) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spread.TypicalServiceTime(req.requirements) / 2
+	return r.balancer.TypicalServiceTime(req.requirements) / 2
 }
 
 // tryWithdrawRetry takes one retry from the service's budget, and reports whether one was left.
--- a/io/process/router/closed.go
+++ b/io/process/router/closed.go
@@ -47,7 +47,7 @@
 	if resp.Status == http.StatusMisdirectedRequest {
 		return r.reopenEstimator.EstimateReopening(r.now(), req.service.Name, keyRange, true).Median
 	}
-	return r.spread.Evaluate(time.Now(), req.requirements, server).RetryAfter
+	return r.balancer.Evaluate(time.Now(), req.requirements, server).RetryAfter
 }
 
 // awaitRangeOpen waits for a new table, and reports whether one came into force. A request
@@ -56,7 +56,7 @@
 // response.
 func (r *Router) awaitRangeOpen(ctx context.Context, req *request, tableUpdateCh <-chan struct{}) bool {
 	r.mu.Lock()
-	latestStart := req.ReadAt.Add(req.route.LatencyTarget - r.spread.TypicalServiceTime(req.requirements))
+	latestStart := req.ReadAt.Add(req.route.LatencyTarget - r.balancer.TypicalServiceTime(req.requirements))
 	r.mu.Unlock()
 	if req.rangeOpensBy.After(latestStart) || latestStart.After(req.deadline) {
 		return false
--- a/io/process/router/control.go
+++ b/io/process/router/control.go
@@ -314,7 +314,7 @@
 	defer c.r.mu.Unlock()
 	c.r.daemonCount = c.members.Count()
 	localIndex, localCount := c.members.LocalIndex()
-	c.r.spread.SetLimits(c.r.coldLimits().WithDaemons(c.members.Count(), c.members.Index()).WithLocalDaemons(localCount, localIndex))
+	c.r.balancer.SetLimits(c.r.coldLimits().WithDaemons(c.members.Count(), c.members.Index()).WithLocalDaemons(localCount, localIndex))
 	for _, b := range c.r.budgets {
 		b.SetShare(c.r.retryShare() * retryUtilisation)
 		b.SetBurst(c.r.retryBurst())
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -52,16 +52,16 @@
 	case c.keeper != nil:
 		c.clusterCounts.add(message)
 	case hasCounts(message) && message.DataCentre == c.r.self.DataCentre && c.members.IsRelay(now):
-		c.r.addKeyCounts(message.Heat)
+		c.r.addBucketLoads(message.Heat)
 		c.lastCountReport.relayedStats = append(c.lastCountReport.relayedStats, message.Paces...)
 	}
 }
 
-// addKeyCounts adds another daemon's request counts to this daemon's.
-func (r *Router) addKeyCounts(keyCounts []*wire.Heat) {
+// addBucketLoads adds the loads on buckets that another daemon counted to this daemon's.
+func (r *Router) addBucketLoads(loads []*wire.Heat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, x := range keyCounts {
+	for _, x := range loads {
 		k := bucketKey{service: x.Service, bucket: x.Bucket}
 		r.bucketLoads[k] = r.bucketLoads[k].with(x.Requests, millis(x.WorkMillis), millis(x.AimMillis))
 	}
@@ -73,10 +73,10 @@
 func (r *Router) takeCounts(relayed []*wire.Pace, newLeader bool) ([]*wire.Heat, []*wire.Pace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var keyCounts []*wire.Heat
-	for k, count := range r.bucketLoads {
-		keyCounts = append(keyCounts, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: count.requests,
-			WorkMillis: uint32(count.serviceTime.Milliseconds()), AimMillis: uint32(count.latencyTarget.Milliseconds())})
+	var loads []*wire.Heat
+	for k, load := range r.bucketLoads {
+		loads = append(loads, &wire.Heat{Service: k.service, Bucket: k.bucket, Requests: load.requests,
+			WorkMillis: uint32(load.serviceTime.Milliseconds()), AimMillis: uint32(load.latencyTarget.Milliseconds())})
 	}
 	clear(r.bucketLoads)
 	keyed := map[string]bool{}
@@ -87,7 +87,7 @@
 	for _, p := range relayed {
 		statsByServer[p.Server] = statsByServer[p.Server].with(serverStatsFrom(p))
 	}
-	for _, p := range r.spread.TakeStats(newLeader) {
+	for _, p := range r.balancer.TakeStats(newLeader) {
 		if server, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[server.Service] {
 			stats := serverStats{Sample: speed.Sample{Slowdown: p.Slowdown, Answers: p.Responses}, loadReports: p.LoadReports, longQueueReports: p.LongQueueReports}
 			statsByServer[p.Server] = statsByServer[p.Server].with(stats)
@@ -97,5 +97,5 @@
 	for id, stats := range statsByServer {
 		reports = append(reports, stats.toWire(id))
 	}
-	return keyCounts, reports
+	return loads, reports
 }
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -22,15 +22,15 @@
 // which lost contact are found again. A daemon that has led gossips with the leader as well,
 // and one that knows no other daemon gossips with the seeds.
 func (c *control) gossip(now time.Time) {
-	relay := c.members.IsRelay(now)
+	isRelay := c.members.IsRelay(now)
 	if c.due(now, &c.lastRuns.localGossip, c.members.GossipInterval()) {
 		c.gossipTo(now, c.members.LocalRelays(now), true)
-		c.sendCounts(now, relay)
+		c.sendCounts(now, isRelay)
 	}
 	if c.members.Count() == 1 && c.due(now, &c.lastRuns.seedGossip, leaderGossipInterval) {
 		c.gossipTo(now, c.seeds, false)
 	}
-	if !relay && !c.leadership.hasLed {
+	if !isRelay && !c.leadership.hasLed {
 		return
 	}
 	if c.due(now, &c.lastRuns.leaderGossip, leaderGossipInterval) {
@@ -38,7 +38,7 @@
 			c.gossipTo(now, []string{leader}, false)
 		}
 	}
-	if relay && c.due(now, &c.lastRuns.remoteGossip, remoteGossipInterval) {
+	if isRelay && c.due(now, &c.lastRuns.remoteGossip, remoteGossipInterval) {
 		c.gossipTo(now, c.members.RemoteRelaysAfterSelf(now), false)
 		c.gossipTo(now, c.members.LocalPeers(now), true)
 	}
@@ -105,7 +105,7 @@
 		cache := c.caches[k]
 		g.Known = append(g.Known, &wire.Known{Kind: string(k), Through: cache.Through(), AgeMillis: ageMillis(now, cache.CurrentAt())})
 	}
-	g.Suspects, g.Sent = c.r.recentSuspects(), c.r.unansweredSent()
+	g.Suspects, g.Sent = c.r.recentSuspects(), c.r.recentUnanswered()
 	g.LimitsEpoch, g.LimitsSeq = c.limits.epoch, c.limits.seq
 	return g
 }
@@ -115,12 +115,12 @@
 // total of all daemons except that peer, so that the peer need not ask the others. peer is the
 // name of that peer, and empty for a message that is not a reply.
 func (c *control) addLoad(now time.Time, g *wire.Gossip, peer string) {
-	relay := c.members.IsRelay(now)
+	isRelay := c.members.IsRelay(now)
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
-	loads := c.r.spread.OwnLoad()
-	if peer != "" && relay {
-		loads, g.Summed = c.r.spread.TotalLoad(now, peer), true
+	loads := c.r.balancer.OwnLoad()
+	if peer != "" && isRelay {
+		loads, g.Summed = c.r.balancer.TotalLoad(now, peer), true
 	}
 	for id, n := range loads {
 		g.UnderWay = append(g.UnderWay, &wire.UnderWay{Server: id, Requests: uint32(n)})
@@ -181,7 +181,7 @@
 		c.updateShares()
 	}
 	c.applyPeerLoad(now, g)
-	c.r.mergeSent(g.Sent)
+	c.r.mergeUnanswered(g.Sent)
 	if c.r.mergeSuspects(g.Suspects) {
 		c.propagateChange(now, false)
 	}
@@ -223,10 +223,10 @@
 	c.r.mu.Lock()
 	defer c.r.mu.Unlock()
 	if g.Summed {
-		c.r.spread.SetPeerTotal(now, loads)
+		c.r.balancer.SetPeerTotal(now, loads)
 		return
 	}
-	c.r.spread.SetPeerLoad(now, g.Name, loads)
+	c.r.balancer.SetPeerLoad(now, g.Name, loads)
 }
 
 // ageMillis returns the time since t in milliseconds, or -1 if t is zero.
--- a/io/process/router/lead.go
+++ b/io/process/router/lead.go
@@ -58,8 +58,8 @@
 	previous grant.Leader
 	// acquiring is set during an attempt to become the leader.
 	acquiring bool
-	// hasLed is set once the daemon has been the leader. It then keeps sending gossip to
-	// the leader: its successor waits to hear that it has stepped down.
+	// hasLed is set once the daemon has been the leader. From then on it sends gossip to
+	// the current leader, since its successor waits to hear that it has stepped down.
 	hasLed bool
 }
 
@@ -137,30 +137,30 @@
 // to the keeper. A renewal only uses an existing connection, so that it cannot reach a new
 // instance of the server.
 func (r *Router) sendGrant(cmd keeper.GrantCmd) {
-	outcome := keeper.GrantResultMsg{Cmd: cmd, Result: grant.NotSent}
+	result := keeper.GrantResultMsg{Cmd: cmd, Result: grant.NotSent}
 	client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forGrants})
 	client.grantMu.Lock()
 	if r.now().Before(cmd.SendBefore) {
 		req := r.protocol.Grant(cmd.Call)
 		req.ExistingConnOnly = cmd.Renewal
-		outcome.Result, _ = r.callServer(client, cmd.Holder, req, grantTimeout)
+		result.Result, _ = r.callServer(client, cmd.Holder, req, grantTimeout)
 	}
 	client.grantMu.Unlock()
-	outcome.EndedAt = r.now()
-	r.metrics.increment("grants." + outcome.Result.String())
-	r.post(keeperMsg{msg: outcome})
+	result.EndedAt = r.now()
+	r.metrics.increment("grants." + result.Result.String())
+	r.post(keeperMsg{msg: result})
 }
 
 // sendRelease asks a server for a release, unless cmd.SendBefore has passed, and reports the
 // result to the keeper.
 func (r *Router) sendRelease(cmd keeper.ReleaseCmd) {
-	outcome := keeper.ReleaseResultMsg{Cmd: cmd, Result: grant.NotSent}
+	result := keeper.ReleaseResultMsg{Cmd: cmd, Result: grant.NotSent}
 	if r.now().Before(cmd.SendBefore) {
 		client := r.clientPool.get(clientKey{address: cmd.Address, id: cmd.Holder.Server, startMillis: cmd.Holder.StartMillis, purpose: forReleases})
-		outcome.Result, outcome.Handover = r.callServer(client, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
+		result.Result, result.Handover = r.callServer(client, cmd.Holder, r.protocol.Release(cmd.Call), releaseTimeout)
 	}
-	r.metrics.increment("releases." + outcome.Result.String())
-	r.post(keeperMsg{msg: outcome})
+	r.metrics.increment("releases." + result.Result.String())
+	r.post(keeperMsg{msg: result})
 }
 
 // callServer makes a control call, a grant or a release, to a server. It returns the result,
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// tickInterval is the time between two ticks of the control loop. It bounds how late
-	// the renewal or move of a key range is.
+	// tickInterval is the time between two ticks of the control loop. The renewal or move of
+	// a key range may be late by up to this time.
 	tickInterval = 50 * time.Millisecond
 	// leaderGossipInterval is the time between two rounds of gossip with the leader, which
 	// show that the leader is alive. remoteGossipInterval is the time between two rounds of
@@ -34,9 +34,9 @@
 	// times a second. Daemons must learn within two seconds that a server is draining.
 	serverReadPause = 300 * time.Millisecond
 	// standbyReadPause is the pause between two reads of any kind by the standby reader, the
-	// daemon that reads the store in addition to the leader. By the end of it, most changes
-	// have reached the standby reader from the leader, so that it does not propagate them a
-	// second time.
+	// daemon that reads the store in addition to the leader. During the pause, most changes
+	// reach the standby reader from the leader, so that it does not propagate them a second
+	// time.
 	standbyReadPause = 700 * time.Millisecond
 	// standbyCheckInterval is the time between two checks of whether this daemon is the
 	// standby reader. It is longer than a tick because a check sorts the relays of all data
@@ -90,7 +90,7 @@
 	// maxIdleGrantConns is how many idle connections to a server are kept for grants, and as
 	// many again for releases.
 	maxIdleGrantConns = 1
-	// The default limits apply to callers while no configuration sets limits. They are usual
+	// The default limits apply to callers if the configuration sets none. They are usual
 	// values of HTTP servers.
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 1 << 20
--- a/io/process/router/permit.go
+++ b/io/process/router/permit.go
@@ -23,18 +23,18 @@
 	contendedTTL = 2 * time.Second
 	// issuerAbsence is how long no permits are requested from an issuer that did not answer.
 	issuerAbsence = 5 * time.Second
-	// maxOtherServers is how many other servers a request tries after a permit was denied. If
-	// three queues are too long, those of all other servers probably are, too.
+	// maxOtherServers is how many other servers a request tries after its first permit was
+	// denied. If the queues of three servers are too long, those of all others probably are, too.
 	maxOtherServers = 2
-	// issuersInterval is the interval between updates of the list of issuers.
-	issuersInterval = 500 * time.Millisecond
+	// issuerRefreshInterval is the time between two updates of the list of issuers.
+	issuerRefreshInterval = 500 * time.Millisecond
 )
 
 // reasonServerContended means that the issuers denied permits for the servers of a request,
 // since their queues are too long.
 const reasonServerContended spread.Reason = "serverContended"
 
-// permits is the state of a daemon as issuer and as user of permits. Router.mu guards all
+// permits is the state of a daemon that issues permits and requests them from other daemons. Router.mu guards all
 // fields but issuers.
 type permits struct {
 	issuer *permit.Issuer
@@ -66,9 +66,9 @@
 }
 
 // refreshIssuers updates the list of daemons that may issue permits, if that is due. It also
-// drops the expired permits that this daemon issued, whose requests have certainly ended.
+// drops those permits of this daemon that have expired: their requests have certainly ended.
 func (c *control) refreshIssuers(now time.Time) {
-	if c.due(now, &c.lastRuns.issuerList, issuersInterval) {
+	if c.due(now, &c.lastRuns.issuerList, issuerRefreshInterval) {
 		liveDaemons := c.members.ReachableAddresses(now)
 		c.r.permits.issuers.Store(&liveDaemons)
 		c.r.mu.Lock()
@@ -124,7 +124,7 @@
 func (r *Router) endUnsentAttempt(req *request, server fleet.Server, outcome spread.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.End(time.Now(), server, req.requirements, req.attemptStart, outcome, nil)
+	r.balancer.End(time.Now(), server, req.requirements, req.attemptStart, outcome, nil)
 }
 
 // acquirePermit requests a permit and returns the issuer's decision, or false if no permit is
@@ -157,14 +157,14 @@
 	if req.key >= 0 {
 		contended = r.permits.contended[server.ID] && now.Before(r.permits.contendedUntil)
 	}
-	serviceTime := r.spread.ServiceTime(now, req.requirements, server)
+	serviceTime := r.balancer.ServiceTime(now, req.requirements, server)
 	if !contended || !permit.Worthwhile(serviceTime) {
 		return permit.Request{}, false
 	}
 	r.permits.lastID++
 	return permit.Request{
 		Server: fmt.Sprintf("%s %d", server.ID, server.StartMillis), ID: r.permits.lastID, Slots: server.Slots,
-		ServiceTime: serviceTime, LatencyBudget: r.spread.LatencyBudget(req.requirements) - now.Sub(req.ReadAt), TTL: req.deadline.Sub(now) + responseMargin,
+		ServiceTime: serviceTime, LatencyBudget: r.balancer.LatencyBudget(req.requirements) - now.Sub(req.ReadAt), TTL: req.deadline.Sub(now) + responseMargin,
 	}, true
 }
 
--- a/io/process/router/permit_test.go
+++ b/io/process/router/permit_test.go
@@ -132,14 +132,14 @@
 			for id := range uint64(20) {
 				r.permits.issuer.Acquire(time.Now(), permit.Request{Server: server.ID + " 1", ID: id, Slots: 20, ServiceTime: time.Second, TTL: time.Minute})
 			}
-			r.spread.Begin(time.Now(), server, req.requirements)
-			r.spread.End(time.Now(), server, req.requirements, time.Now(), spread.Answered, &spread.Report{Running: 3, Waiting: 9, Slots: 3})
+			r.balancer.Begin(time.Now(), server, req.requirements)
+			r.balancer.End(time.Now(), server, req.requirements, time.Now(), spread.Answered, &spread.Report{Running: 3, Waiting: 9, Slots: 3})
 		}
 		reply := r.sendWithRetries(context.Background(), req)
 		So(reply.Status, ShouldEqual, http.StatusServiceUnavailable)
 		So(r.metrics.vars.Get("refused."+string(reasonServerContended)).String(), ShouldEqual, "1")
 		So(r.metrics.vars.Get("permits.asked").String(), ShouldEqual, fmt.Sprint(1+maxOtherServers))
-		So(r.spread.OwnLoad(), ShouldBeEmpty) // requests that were not sent are not in flight
+		So(r.balancer.OwnLoad(), ShouldBeEmpty) // requests that were not sent are not in flight
 	})
 }
 
--- a/io/process/router/read.go
+++ b/io/process/router/read.go
@@ -80,8 +80,8 @@
 // history of changes, and otherwise waits for changes.
 //
 // The very first list may be stale: later changes arrive with the first watch, or with the
-// gossip of daemons that started earlier. A stale list costs the store little, and the lists
-// of daemons that start at the same time are most of the requests to the store in an hour.
+// gossip of daemons that started earlier. A stale list costs the store little. When daemons
+// start at the same time, their lists are most of the requests that the store gets in that hour.
 //
 // After a failed call, storeUp is false and the store may be down. A long watch that began
 // then would receive nothing even once the store is back, so a short watch comes first.
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -59,17 +59,17 @@
 	mesh          *mesh.Mesh
 	clientPool    clientPool
 
-	mu      sync.Mutex // guards the mutable fields from here to random, which requests share
-	spread  *spread.Balancer
-	budgets map[string]*retry.Budget
+	mu       sync.Mutex // guards the mutable fields from here to random, which requests share
+	balancer *spread.Balancer
+	budgets  map[string]*retry.Budget
 	// suspects records the requests that were running at servers that were lost.
 	suspects      *crash.Suspects
 	suspectBuffer piggybackBuffer[*wire.Suspect]
-	// sent holds the IDs of requests that must not run twice. unansweredBuffer holds those
-	// of them that may have run without a response, which other daemons must learn of.
-	sent             *sent.History
+	// sentHistory holds the IDs of requests that must not run twice. unansweredBuffer holds
+	// those of them that may have run without a response, for the other daemons.
+	sentHistory      *sent.History
 	unansweredBuffer piggybackBuffer[sentRecord]
-	burn             *burn.Meter
+	burnMeter        *burn.Meter
 	// reopenEstimator estimates how long ranges stay closed.
 	reopenEstimator *reopen.Estimator
 	admission       *admit.Limiter
@@ -112,7 +112,7 @@
 		settings: s, store: st, protocol: p, log: slog.Default(),
 		grantTTL: keeper.DefaultGrantTTL, now: clock.Now, metrics: newMetrics(), latestSettings: s, daemonCount: 1,
 		inbox: make(chan any, inboxSize), listening: make(chan struct{}),
-		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sent: sent.New(sentRetention), bucketLoads: map[bucketKey]bucketLoad{},
+		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sentHistory: sent.New(sentRetention), bucketLoads: map[bucketKey]bucketLoad{},
 		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
@@ -122,14 +122,14 @@
 		r.grantTTL = min(r.grantTTL, s.MaxGrantTTL)
 	}
 	r.clientPool.names = p.Names()
-	r.burn = burn.New(r.now())
+	r.burnMeter = burn.New(r.now())
 	r.reopenEstimator = reopen.New()
 	seed := seedOf(r.self)
 	r.admission = admit.NewLimiter(seed)
 	r.permits.issuer, r.permits.absentUntil, r.permits.lastID = permit.NewIssuer(seed), map[string]time.Time{}, seed
 	r.tableUpdateCh.Store(new(make(chan struct{})))
 	r.random = rand.New(rand.NewPCG(seed, 23))
-	r.spread = spread.New(seed, r.coldLimits().WithDaemons(1, 0))
+	r.balancer = spread.New(seed, r.coldLimits().WithDaemons(1, 0))
 	r.current.Store((&snapshot{}).withFleet(fleet.New(nil), nil))
 	r.bootDone, r.boot = make(chan struct{}), boot.New(r.now())
 	r.control = newControl(r, r.now())
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -40,16 +40,16 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent.Has(req.sentHash())
+	return r.sentHistory.Has(req.sentHash())
 }
 
-// recordSent records that a request is about to be sent. If it was sent before, a header tells
-// the server how long ago it was first sent. The caller may set the same header if it knows of
-// an earlier time than the daemons do.
+// recordSent records that a request is about to be sent, and reports whether it was sent before.
+// If so, it sets a header that tells the server how long ago the request was first sent. The
+// caller may set the same header if it knows of an earlier time than the daemons do.
 func (r *Router) recordSent(req *request) (sentRecord, bool) {
 	now := time.Now()
 	r.mu.Lock()
-	firstSentAt, repeated := r.sent.Record(now, req.sentHash())
+	firstSentAt, repeated := r.sentHistory.Record(now, req.sentHash())
 	r.mu.Unlock()
 	sinceFirst, name := now.Sub(firstSentAt), r.protocol.Names().FirstSent
 	callerMillis, err := strconv.ParseInt(req.Header.Get(name), 10, 64)
@@ -73,12 +73,12 @@
 	defer r.mu.Unlock()
 	if notRun {
 		if !repeated {
-			r.sent.Forget(record.hash)
+			r.sentHistory.Forget(record.hash)
 		}
 		return
 	}
 	// A concurrent copy that did not run may have removed the record.
-	r.sent.RecordAt(time.Now(), record.hash, record.firstSentAt)
+	r.sentHistory.RecordAt(time.Now(), record.hash, record.firstSentAt)
 	if !unanswered {
 		return
 	}
@@ -91,9 +91,9 @@
 	}
 }
 
-// unansweredSent returns the recent requests that may have run without a response, for
+// recentUnanswered returns the recent requests that may have run without a response, for
 // gossip.
-func (r *Router) unansweredSent() []*wire.Sent {
+func (r *Router) recentUnanswered() []*wire.Sent {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -104,9 +104,9 @@
 	return out
 }
 
-// mergeSent records requests that other daemons sent and that may have run without a response,
-// and forwards the new ones with this daemon's gossip.
-func (r *Router) mergeSent(reported []*wire.Sent) {
+// mergeUnanswered records requests that other daemons sent and that may have run without a
+// response, and adds the new ones to this daemon's gossip.
+func (r *Router) mergeUnanswered(reported []*wire.Sent) {
 	if len(reported) == 0 {
 		return
 	}
@@ -115,14 +115,14 @@
 	now := time.Now()
 	for _, s := range reported {
 		firstSentAt := now.Add(-millis(s.AgoMillis))
-		if r.sent.RecordAt(now, s.Id, firstSentAt) && !r.unansweredBuffer.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
+		if r.sentHistory.RecordAt(now, s.Id, firstSentAt) && !r.unansweredBuffer.add(now, sentRecord{hash: s.Id, firstSentAt: firstSentAt}) {
 			r.metrics.increment("sent.notPassedOn")
 		}
 	}
 }
 
-// replyOutcomeLost replies to a request that may have run at a holder that was lost. The request
-// is not run again under this ID.
+// replyOutcomeLost replies to a request that may have run at an earlier holder, which was lost.
+// The new holder does not run it under this ID.
 func (r *Router) replyOutcomeLost(req *request, server string) caller.Response {
 	r.metrics.increment("sent.lost")
 	r.log.Info("request: given up, may have run", "id", req.id, "route", req.route.Name, "reason", reasonOutcomeLost, "service", req.service.Name, "key", req.key,
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -122,16 +122,16 @@
 		r.sendAndRecord(bookingRequest("a"), nil, errConnectionBroken)
 		r.sendAndRecord(bookingRequest("b"), &link.Response{Status: http.StatusOK}, nil)
 		r.sendAndRecord(bookingRequest("c"), nil, errNotSent)
-		sent := r.unansweredSent()
-		So(sent, ShouldHaveLength, 1)
-		So(sent[0].Id, ShouldEqual, bookingRequest("a").sentHash())
-		other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 900}})
+		unanswered := r.recentUnanswered()
+		So(unanswered, ShouldHaveLength, 1)
+		So(unanswered[0].Id, ShouldEqual, bookingRequest("a").sentHash())
+		other.mergeUnanswered([]*wire.Sent{{Id: unanswered[0].Id, AgoMillis: 900}})
 		So(other.sendsFirstSent("a"), ShouldBeTrue)
-		So(other.unansweredSent(), ShouldHaveLength, 1) // forwarded by the receiver
+		So(other.recentUnanswered(), ShouldHaveLength, 1) // forwarded by the receiver
 		Convey("A receiver forwards a request only once", func() {
 			other.unansweredBuffer = piggybackBuffer[sentRecord]{}
-			other.mergeSent([]*wire.Sent{{Id: sent[0].Id, AgoMillis: 800}})
-			So(other.unansweredSent(), ShouldBeEmpty)
+			other.mergeUnanswered([]*wire.Sent{{Id: unanswered[0].Id, AgoMillis: 800}})
+			So(other.recentUnanswered(), ShouldBeEmpty)
 		})
 	})
 	Convey("A request whose caller disconnected before the response is gossiped, too", t, func() {
@@ -140,7 +140,7 @@
 		record, repeated := r.recordSent(bookingRequest("a"))
 		cancel()
 		r.recordSentOutcome(ctx, record, repeated, &link.Response{Status: http.StatusOK}, nil)
-		So(r.unansweredSent(), ShouldHaveLength, 1)
+		So(r.recentUnanswered(), ShouldHaveLength, 1)
 	})
 	Convey("The number of items in a gossip message is limited", t, func() {
 		var buffer piggybackBuffer[int]
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -35,21 +35,21 @@
 // request is the state of one caller's request while it is served.
 type request struct {
 	caller.Request
-	id           string
-	target       string // the request URI that is sent to the server
-	route        config.Route
-	service      config.Service
-	key          int // -1 if the service is not keyed
-	deadline     time.Time
-	requirements spread.Requirements
-	fingerprint  uint64     // identifies the content; the same for each attempt, and if the caller sends it again
-	arrived      int        // attempts that may have reached a server
-	unsent       int        // attempts that reached no server
-	attemptStart time.Time  // of the current attempt
-	admitted     bool       // the limits for overloaded holders admitted it
-	rangeOpensBy time.Time  // time by which its range very probably opens, if the range is closed
-	maybeRan     bool       // an earlier attempt may have run
-	permit       heldPermit // of the current attempt, if its server is contended
+	id             string
+	target         string // the request URI that is sent to the server
+	route          config.Route
+	service        config.Service
+	key            int // -1 if the service is not keyed
+	deadline       time.Time
+	requirements   spread.Requirements
+	fingerprint    uint64     // identifies the content; the same for each attempt, and if the caller sends it again
+	sentAttempts   int        // attempts that may have reached a server
+	unsentAttempts int        // attempts that reached no server
+	attemptStart   time.Time  // of the current attempt
+	admitted       bool       // the limits for overloaded holders admitted it
+	rangeOpensBy   time.Time  // time by which its range very probably opens, if the range is closed
+	maybeRan       bool       // an earlier attempt may have run
+	permit         heldPermit // of the current attempt, if its server is contended
 	// permitsDenied is the number of servers for which a permit was denied.
 	permitsDenied int
 	// fallbackResponse is an error response from a server. The caller gets it if no further
@@ -77,7 +77,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.burn.Count(r.now(), req.service.Name, outcome)
+	r.burnMeter.Count(r.now(), req.service.Name, outcome)
 }
 
 func (r *Router) handle(ctx context.Context, callerReq caller.Request) caller.Response {
@@ -132,7 +132,7 @@
 }
 
 // attempts returns the number of attempts made so far.
-func (req *request) attempts() int { return req.arrived + req.unsent }
+func (req *request) attempts() int { return req.sentAttempts + req.unsentAttempts }
 
 // callerReply converts a server's response into the reply to the caller.
 func (r *Router) callerReply(req *request, resp *link.Response) caller.Response {
@@ -168,7 +168,7 @@
 	defer r.mu.Unlock()
 	if req.key >= 0 {
 		k := bucketKey{service: req.service.Name, bucket: uint32(keeper.Bucket(req.key))}
-		r.bucketLoads[k] = r.bucketLoads[k].with(1, r.spread.TypicalServiceTime(req.requirements), req.route.LatencyTarget)
+		r.bucketLoads[k] = r.bucketLoads[k].with(1, r.balancer.TypicalServiceTime(req.requirements), req.route.LatencyTarget)
 	}
 	budget := r.budgets[req.service.Name]
 	if budget == nil {
@@ -188,7 +188,7 @@
 func (r *Router) setCold(server fleet.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spread.SetCold(time.Now(), server)
+	r.balancer.SetCold(time.Now(), server)
 }
 
 // assumeCold treats all servers of a data centre as cold until they report otherwise.
@@ -199,7 +199,7 @@
 	for _, server := range snap.fleet.All() {
 		service, _ := snap.config.Service(server.Service)
 		if server.DataCentre == dataCentre {
-			r.spread.AssumeCold(server, time.Now().Add(service.ColdPeriod))
+			r.balancer.AssumeCold(server, time.Now().Add(service.ColdPeriod))
 		}
 	}
 }
--- a/io/process/router/serve_test.go
+++ b/io/process/router/serve_test.go
@@ -44,11 +44,11 @@
 			requirements: spread.Requirements{Route: "look", LatencyTarget: 300 * time.Millisecond}}
 		r.recordArrival(req)
 		r.recordArrival(req)
-		keyCounts, _ := r.takeCounts(nil, false)
-		So(keyCounts, ShouldHaveLength, 1)
-		So(keyCounts[0].Requests, ShouldEqual, 2)
-		So(keyCounts[0].AimMillis, ShouldEqual, 600)
-		So(keyCounts[0].WorkMillis, ShouldBeGreaterThan, 0)
+		loads, _ := r.takeCounts(nil, false)
+		So(loads, ShouldHaveLength, 1)
+		So(loads[0].Requests, ShouldEqual, 2)
+		So(loads[0].AimMillis, ShouldEqual, 600)
+		So(loads[0].WorkMillis, ShouldBeGreaterThan, 0)
 	})
 }
 
@@ -67,7 +67,7 @@
 		So(choice.Refused(), ShouldBeFalse)
 		So(server.ID, ShouldEqual, "a")
 		later := now.Add(600 * time.Millisecond) // the request ran, but its response was lost
-		r.spread.End(later, server, req.requirements, req.attemptStart, spread.Failed, nil)
+		r.balancer.End(later, server, req.requirements, req.attemptStart, spread.Failed, nil)
 		req.excludeFailed(server, nil)
 		server, choice = r.chooseHolder(r.current.Load(), req, later)
 		So(choice.Refused(), ShouldBeFalse)
@@ -119,8 +119,8 @@
 		r.updateServers(atSecond(1), 10, serverItem("a", 5))
 		server, _ := r.current.Load().fleet.Find("a")
 		requirements := spread.Requirements{Route: "look", LatencyTarget: time.Second, LocalDataCentre: "x"}
-		r.spread.Begin(t0, server, requirements)
-		r.spread.End(t0, server, requirements, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
+		r.balancer.Begin(t0, server, requirements)
+		r.balancer.End(t0, server, requirements, t0, spread.Answered, &spread.Report{Running: 1, Slots: 3, Slowdown: 4})
 		r.control.keeper = keeper.New(t0, grant.Table{Epoch: 1}, 1)
 		learnsSlowdown := func(at float64) bool {
 			r.control.clusterCounts = newClusterCounts()
--- a/io/process/router/servers.go
+++ b/io/process/router/servers.go
@@ -43,7 +43,7 @@
 	return len(c.added)+len(c.restarted)+len(c.draining)+len(c.removed) > 0
 }
 
-// apply applies changed entries.
+// apply applies changed entries, and returns the changes by kind.
 func (l *serverList) apply(now time.Time, changed []object.Item) serverChanges {
 	var changes serverChanges
 	for _, it := range changed {
@@ -220,6 +220,6 @@
 	c.r.current.Store(c.r.current.Load().withFleet(f, excluded))
 	c.r.clientPool.closeRemoved(f)
 	c.r.mu.Lock()
-	c.r.spread.Prune(f)
+	c.r.balancer.Prune(f)
 	c.r.mu.Unlock()
 }
--- a/io/process/router/status.go
+++ b/io/process/router/status.go
@@ -102,7 +102,7 @@
 func (c *control) status(now time.Time) ownStatus {
 	s := c.r.current.Load()
 	c.r.mu.Lock()
-	counts := c.r.burn.Counts(now, c.r.self.DataCentre)
+	counts := c.r.burnMeter.Counts(now, c.r.self.DataCentre)
 	c.r.mu.Unlock()
 	counters, err := json.Marshal(counts)
 	if err != nil {
