--- a/io/connection/mesh/pool.go
+++ b/io/connection/mesh/pool.go
@@ -23,7 +23,7 @@
 }
 
 type poolEntry[S session] struct {
-	ready chan struct{}
+	ready chan struct{} // closed once value and err are set
 	value S
 	err   error
 }
--- a/io/process/router/limits.go
+++ b/io/process/router/limits.go
@@ -61,7 +61,7 @@
 		c.r.log.Info("limits: changed", "buckets", len(l.bucketLimits), "contended", len(l.contended), "epoch", l.epoch, "seq", l.seq, "age", now.Sub(l.issuedAt).String())
 	}
 	c.limits = l
-	// now is the time of the control loop's clock. Requests use time.Now, so convert the time.
+	// now comes from the control loop's clock, but requests use time.Now: convert the time.
 	issuedAt := time.Now().Add(l.issuedAt.Sub(now))
 	c.r.mu.Lock()
 	c.r.admission.SetLimits(issuedAt, l.bucketLimits)
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -43,8 +43,9 @@
 	protocol Protocol
 	log      *slog.Logger
 	grantTTL time.Duration
-	now      func() time.Time
-	self     member.Member
+	// now is the control loop's clock; see WithClock. The times of a request come from time.Now.
+	now  func() time.Time
+	self member.Member
 
 	tomb    tomb.Tomb
 	control *control
@@ -62,7 +63,7 @@
 	mu       sync.Mutex // guards the mutable fields from here to random, which requests share
 	balancer *spread.Balancer
 	budgets  map[string]*retry.Budget
-	// suspects records the requests that were running at servers that were lost.
+	// suspects records the requests that may have been running at servers when these were lost.
 	suspects      *crash.Suspects
 	suspectBuffer piggybackBuffer[*wire.Suspect]
 	// sentHistory holds the IDs of requests that must not run twice. unansweredBuffer holds
@@ -76,7 +77,8 @@
 	permits         permits
 	// bootDone is closed once requests no longer wait for the first lists from the store.
 	bootDone chan struct{}
-	boot     boot.Boot
+	// boot limits how long a request waits for bootDone. control.boot records the lists read.
+	boot boot.Boot
 
 	latestSettings setup.Settings // passed to New or to the last Reload, of which some only take effect after a restart
 	daemonCount    int
