--- a/core/process/keeper/limits_test.go
+++ b/core/process/keeper/limits_test.go
@@ -59,7 +59,7 @@
 // that requests for the other keys there are late too.
 func TestOneHotKeyIsLimited(t *testing.T) {
 	Convey("The key is limited to what its holder can run, and no other key is limited", t, func() {
-		l, _, h := startedService(200)
+		l, _, h := newBalancedModel(200)
 		before := latestLimits(h)
 		So(before, ShouldBeEmpty)
 		const hot = 700
@@ -80,7 +80,7 @@
 // until the keys have moved to more servers.
 func TestHotNeighboursAreLimited(t *testing.T) {
 	Convey("No server is sent much more than its slots can run", t, func() {
-		l, _, h := startedService(200)
+		l, _, h := newBalancedModel(200)
 		for b := 700; b < 780; b++ {
 			l.requestRates[b] += 6
 		}
@@ -136,7 +136,7 @@
 // without permits.
 func TestContendedServersAreListed(t *testing.T) {
 	contended := func(daemons int, serviceTimeSeconds float64) []string {
-		l, _, h := startedService(200)
+		l, _, h := newBalancedModel(200)
 		l.serviceTimeSeconds = serviceTimeSeconds
 		h.update(FleetMsg{Fleet: h.keeper.fleet, KeyedServices: []string{testService}, DaemonCount: daemons})
 		l.requestRates[700] = 60 / serviceTimeSeconds
--- a/core/process/keeper/load_test.go
+++ b/core/process/keeper/load_test.go
@@ -22,15 +22,16 @@
 	requestRates       [Buckets]float64 // requests a second
 	serviceTimeSeconds float64          // time that a request occupies a slot of a server of typical speed
 	meter              *rate.Meter
-	slowdowns          map[string]float64
-	slots              float64
+	slowdowns          map[string]float64 // service times relative to a server of typical speed, by server ID
+	slots              float64            // of each server
 	// coldRate is how many requests a second a cold server can handle.
 	coldRate float64
 }
 
-// newLoadModel returns a service that gets perSecond requests a second in total. The rates of
-// the buckets follow a power law with exponent -skew; neighbouring buckets have similar rates.
-func newLoadModel(servers int, perSecond, serviceTimeSeconds, skew float64) (*loadModel, []fleet.Server) {
+// newLoadModel returns the model of a service that gets requestsPerSecond in total, and the
+// servers of the service. The rates of the buckets follow a power law with exponent -skew;
+// neighbouring buckets have similar rates.
+func newLoadModel(servers int, requestsPerSecond, serviceTimeSeconds, skew float64) (*loadModel, []fleet.Server) {
 	l := &loadModel{rng: rand.New(rand.NewPCG(3, 9)), serviceTimeSeconds: serviceTimeSeconds, meter: rate.New(Buckets), slowdowns: map[string]float64{}, slots: 4}
 	total, weights := 0.0, [Buckets]float64{}
 	for i := range weights {
@@ -38,7 +39,7 @@
 		total += weights[i]
 	}
 	for i := range weights {
-		l.requestRates[i] = perSecond * weights[i] / total
+		l.requestRates[i] = requestsPerSecond * weights[i] / total
 	}
 	var out []fleet.Server
 	for i := range servers {
@@ -74,24 +75,25 @@
 // latencyTargetOverServiceTime is the ratio of the latency target to the service time.
 const latencyTargetOverServiceTime = 3
 
-// utilisation returns the highest true utilisation of a server, and the mean of all servers,
-// weighted by what their slots can run.
+// utilisation returns the highest utilisation of a server and the mean utilisation of all
+// servers, at the true request rates. In the mean, each server's weight is the number of slots of
+// typical speed that its slots are worth.
 func (l *loadModel) utilisation(t grant.Table) (highest, mean float64) {
-	busy, totalBusy, totalSlots := map[string]float64{}, 0.0, 0.0
+	utilisations, totalBusySlots, totalSlots := map[string]float64{}, 0.0, 0.0
 	for _, r := range t.Services[0].Ranges {
 		for b := Bucket(r.From); b <= Bucket(r.To); b++ {
-			bucketBusy := l.requestRates[b] * l.serviceTimeSeconds
-			totalBusy += bucketBusy
-			busy[r.Holder.Server] += bucketBusy * l.slowdowns[r.Holder.Server] / l.slots
+			busySlots := l.requestRates[b] * l.serviceTimeSeconds
+			totalBusySlots += busySlots
+			utilisations[r.Holder.Server] += busySlots * l.slowdowns[r.Holder.Server] / l.slots
 		}
 	}
 	for _, slowdown := range l.slowdowns {
 		totalSlots += l.slots / slowdown
 	}
-	for _, b := range busy {
+	for _, b := range utilisations {
 		highest = math.Max(highest, b)
 	}
-	return highest, totalBusy / totalSlots
+	return highest, totalBusySlots / totalSlots
 }
 
 // requestRateOf returns how many requests a second a server gets.
@@ -104,8 +106,8 @@
 	return rate
 }
 
-// lostPerSecond returns how many requests a second are not answered in time at the true rates,
-// and how many it would be at equal utilisation of all servers.
+// lostPerSecond returns how many requests a second are lost at the true request rates, and how
+// many would be lost if all servers had the same utilisation.
 func (l *loadModel) lostPerSecond(t grant.Table) (lost, atEqualUtilisation float64) {
 	_, mean := l.utilisation(t)
 	rates := map[string]float64{}
@@ -122,8 +124,8 @@
 	return lost, atEqualUtilisation
 }
 
-// Guards against a large service in which some servers are overloaded for minutes while others
-// have free slots.
+// Guards against a large service in which some servers stay overloaded while others have free
+// slots.
 func TestManyServersAreBalanced(t *testing.T) {
 	for _, params := range []struct {
 		servers                       int
@@ -155,10 +157,10 @@
 	}
 }
 
-// startedService returns a service of 13 servers after 15 s of balancing. Its requests have a
-// service time of 90 ms.
-func startedService(perSecond float64) (*loadModel, []fleet.Server, *harness) {
-	l, servers := newLoadModel(13, perSecond, 0.09, 0.37)
+// newBalancedModel returns the model of a service with 13 servers whose requests have a service
+// time of 90 ms, its servers, and the harness of a leader that has balanced it for 15 s.
+func newBalancedModel(requestsPerSecond float64) (*loadModel, []fleet.Server, *harness) {
+	l, servers := newLoadModel(13, requestsPerSecond, 0.09, 0.37)
 	h := newHarness(grant.Range{}, WithGrantTTL(3500*time.Millisecond))
 	h.keeper.services = nil
 	h.setFleet(servers...)
@@ -167,10 +169,10 @@
 	return l, servers, h
 }
 
-// Guards against a hot key that stays at a slow holder for as long as it is hot.
-func TestHotKeyMovesToFastServer(t *testing.T) {
-	Convey("Within two seconds a fast server has it, and fewer than half as many requests are lost as without the move", t, func() {
-		l, _, h := startedService(200)
+// Guards against a hot bucket that stays at a slow holder for as long as it is hot.
+func TestHotBucketMovesToFastServer(t *testing.T) {
+	Convey("Within two seconds a fast server holds the hot bucket, and fewer than half as many requests are lost as without the move", t, func() {
+		l, _, h := newBalancedModel(200)
 		hot := 0
 		for b := range Buckets {
 			if g, _ := h.keeper.Table().RangeOf(testService, b*keysPerBucket); l.slowdowns[g.Holder.Server] == 1.4 {
@@ -188,10 +190,10 @@
 	})
 }
 
-// Guards against moving thousands of keys with few requests together with a hot key.
+// Guards against a hot bucket that takes thousands of keys with few requests along when it moves.
 func TestHotBucketMovesAlone(t *testing.T) {
-	Convey("Few other keys move with it", t, func() {
-		l, _, h := startedService(200)
+	Convey("A hot bucket moves to a fast server with at most three neighbouring buckets", t, func() {
+		l, _, h := newBalancedModel(200)
 		table, hot := h.keeper.Table(), -1
 		for _, r := range table.Services[0].Ranges {
 			if l.slowdowns[r.Holder.Server] == 1.4 && Bucket(r.To)-Bucket(r.From) > 40 {
--- a/core/process/keeper/move.go
+++ b/core/process/keeper/move.go
@@ -41,7 +41,8 @@
 	return ""
 }
 
-// instanceEnded reports whether a server instance is known to have ended.
+// instanceEnded reports whether a server instance is known to have ended. The zero Holder, which
+// stands for no holder, counts as ended.
 func (k *Keeper) instanceEnded(h grant.Holder) bool {
 	if h.Server == "" || k.endedInstances[h] {
 		return true
@@ -69,8 +70,9 @@
 	return ok && k.tickedAt.Sub(at) < unresponsivePeriod
 }
 
-// recordCallResult records whether a server answered a call. A renewal that was not sent,
-// because its connection was closed, says nothing about the server.
+// recordCallResult records whether a server answered a call. A call that was not sent counts as
+// unanswered, unless it is a renewal: a renewal is not sent when its connection has been closed,
+// which says nothing about the server.
 func (k *Keeper) recordCallResult(now time.Time, h grant.Holder, r grant.Result, renewal bool) {
 	switch r {
 	case grant.Done, grant.Fenced, grant.Ended:
@@ -104,7 +106,8 @@
 	return grant.Lost
 }
 
-// callHolder makes the next call for a range when it is due.
+// callHolder completes a release once the range is free, and then makes the next call to the
+// holder if it is due.
 func (k *Keeper) callHolder(now time.Time, s *serviceState, rs *rangeState) {
 	if rs.step == releasing && k.isFree(now, rs) {
 		k.assignNextHolder(now, s, rs)
@@ -126,7 +129,8 @@
 		Call: grant.Call{Address: rs.Holder.Address, From: rs.From, To: rs.To, Fence: rs.Fence, TTL: k.grantTTL, Handover: rs.handover, Origin: rs.origin}})
 }
 
-// isFree reports whether the holder can no longer run any request on the range.
+// isFree reports whether the holder certainly runs no more requests for keys of the range. While
+// a call to it is in flight, that is unknown.
 func (k *Keeper) isFree(now time.Time, rs *rangeState) bool {
 	if rs.callInFlight {
 		return false
@@ -138,7 +142,7 @@
 func (k *Keeper) assignNextHolder(now time.Time, s *serviceState, rs *rangeState) {
 	k.log(LogCmd{Text: "range is free", Service: s.service, From: rs.From, To: rs.To, Holder: rs.Holder, Next: rs.Next, Fence: rs.Fence})
 	if rs.handover == "" {
-		rs.closedSince = time.Time{} // the holder was lost: only moves with a release are measured
+		rs.closedSince = time.Time{} // no handover, as from a lost holder: only moves with one are measured
 	}
 	if rs.origin == grant.Handed {
 		rs.releasedBy = rs.Holder
@@ -167,8 +171,8 @@
 	case grant.Ended:
 		k.markInstanceEnded(m.Cmd.Holder)
 	case grant.Fenced:
-		// Another leader has granted the range, or this grant was overtaken by a newer one.
-		// The next grant waits until the epoch is confirmed.
+		// Another leader has granted the range, or a newer grant of this leader reached the
+		// server first. The next grant waits until the epoch is confirmed.
 		rs.Fence, rs.nextCallAt = k.nextFence(), now.Add(callRetryDelay)
 		k.storeState.readPending, k.storeState.notBefore, k.epochConfirmedAt = true, now, now.Add(-k.leaderLease)
 		k.log(LogCmd{Text: "server has seen a higher fence", Service: m.Cmd.Service, From: rs.From, To: rs.To, Holder: rs.Holder, Fence: m.Cmd.Fence})
@@ -185,8 +189,8 @@
 }
 
 func (k *Keeper) confirmGrant(now time.Time, rs *rangeState, m GrantResultMsg) {
-	// The answer shows that the server refuses the previous leader's grants on these keys from
-	// now on, so only this grant determines the expiry.
+	// From now on the server refuses grants with a lower fence, both this leader's unanswered
+	// ones and the previous leader's. They no longer count, so the expiry may become earlier.
 	rs.expiresAt = k.grantExpiry(m.EndedAt)
 	rs.nextCallAt = now.Add(k.grantTTL / renewalsPerTTL)
 	if rs.step == releasing {
@@ -204,8 +208,8 @@
 	k.log(LogCmd{Text: "range is held", Service: m.Cmd.Service, From: rs.From, To: rs.To, Holder: rs.Holder, Fence: rs.Fence})
 }
 
-// recordMoveDuration updates the average time for which moves close a range. It is kept for
-// each service, since a release waits for the requests that run on the range.
+// recordMoveDuration updates the average time for which moves close a range. Each service has
+// its own average, since a release takes as long as the service's running requests.
 func (k *Keeper) recordMoveDuration(now time.Time, service string, rs *rangeState) {
 	if rs.closedSince.IsZero() {
 		return
@@ -243,7 +247,7 @@
 		return
 	}
 	k.endedInstances[h] = true
-	k.log(LogCmd{Text: "server instance has ended", Holder: h, Reason: "another server answers at its address"})
+	k.log(LogCmd{Text: "server instance has ended", Holder: h, Reason: "another instance answers at its address"})
 }
 
 func (k *Keeper) findRange(service string, from, to int) *rangeState {
--- a/core/process/keeper/moves_test.go
+++ b/core/process/keeper/moves_test.go
@@ -14,7 +14,7 @@
 // Guards against concurrent moves from one server, which together close most of its keys.
 func TestOneMoveAtATimePerServer(t *testing.T) {
 	Convey("No server is the source or target of two concurrent balancing moves", t, func() {
-		l, _, h := startedService(200)
+		l, _, h := newBalancedModel(200)
 		r := h.keeper.Table().Services[0].Ranges[0]
 		for i := range 4 { // four hot buckets in different parts of the range overload the holder
 			l.requestRates[Bucket(r.From)+i*(Bucket(r.To)-Bucket(r.From))/4] = 40
@@ -42,7 +42,7 @@
 // load yet, and then refuse most of the requests.
 func TestKeysOfLostServersDoNotOverloadColdServers(t *testing.T) {
 	Convey("Cold servers get no more requests than they can handle", t, func() {
-		l, servers, h := startedService(200)
+		l, servers, h := newBalancedModel(200)
 		l.coldRate = 4
 		l.advance(h, time.Second)
 		replaced := slices.Clone(servers[:7])
@@ -64,7 +64,7 @@
 // Guards against a cold server that gets half of the load of the busiest server.
 func TestColdServerGetsFewKeys(t *testing.T) {
 	Convey("It first gets no more than it can handle, and more once it is warm", t, func() {
-		l, servers, h := startedService(400)
+		l, servers, h := newBalancedModel(400)
 		cold := testServer("cold", false)
 		cold.ColdLeft, cold.Slots = 3*time.Second, 4
 		l.slowdowns[cold.ID], l.coldRate = 1, 11
@@ -110,7 +110,7 @@
 // Guards against a server that is overloaded because it gets the keys of all lost servers.
 func TestKeysOfLostServersAreDistributed(t *testing.T) {
 	Convey("No server's utilisation is much higher than the mean", t, func() {
-		l, servers, h := startedService(250)
+		l, servers, h := newBalancedModel(250)
 		for _, srv := range servers[7:] {
 			delete(l.slowdowns, srv.ID)
 		}
--- a/core/process/keeper/simulation_network_test.go
+++ b/core/process/keeper/simulation_network_test.go
@@ -16,10 +16,10 @@
 	return nil
 }
 
-// findReachable returns the server instance that a call reaches. If the call reaches none, srv
-// is nil and r is the result for the daemon: NotSent if the daemon is suspended, has been
-// restarted, or is too late to send the call; otherwise the connection is refused (NotSent) or
-// the call is dropped (OutcomeUnknown).
+// findReachable returns the server instance that a call reaches, with r set to Done. If the call
+// reaches none, srv is nil and r is the result for the daemon: NotSent if the daemon is suspended,
+// has been restarted, or is too late to send the call; otherwise, at random, NotSent for a refused
+// connection or OutcomeUnknown for a dropped call.
 func (s *simulation) findReachable(d *daemon, incarnation uint64, address string, sendBefore time.Time) (srv *server, r grant.Result) {
 	if s.now.Before(d.suspendedUntil) || d.incarnation != incarnation || !s.now.Before(sendBefore) {
 		return nil, grant.NotSent
@@ -34,6 +34,9 @@
 	return srv, grant.Done
 }
 
+// deliverGrant simulates a grant call. If the daemon is suspended, the call goes on after the
+// suspension, as a process does that was stopped between its decision and its send: it may then be
+// too late to send the grant.
 func (s *simulation) deliverGrant(d *daemon, incarnation uint64, c GrantCmd) {
 	if s.now.Before(d.suspendedUntil) && d.incarnation == incarnation {
 		s.after(d.suspendedUntil.Sub(s.now)+simStep, func() { s.deliverGrant(d, incarnation, c) })
@@ -54,13 +57,13 @@
 		s.send(d, incarnation, GrantResultMsg{Cmd: c, EndedAt: s.now, Result: grant.NotSent})
 		return
 	}
-	arrived := s.now
+	arrivedAt := s.now
 	if s.chance(0.03) { // the grant is applied late and not answered
-		s.after(s.randomDuration(0, 5*time.Second), func() { s.applyGrant(srv, c, arrived) })
+		s.after(s.randomDuration(0, 5*time.Second), func() { s.applyGrant(srv, c, arrivedAt) })
 		s.after(s.randomDuration(50*time.Millisecond, maxGrantCallDuration), func() { s.send(d, incarnation, GrantResultMsg{Cmd: c, EndedAt: s.now, Result: grant.OutcomeUnknown}) })
 		return
 	}
-	r = s.applyGrant(srv, c, arrived)
+	r = s.applyGrant(srv, c, arrivedAt)
 	if s.chance(0.03) {
 		s.after(s.randomDuration(50*time.Millisecond, maxGrantCallDuration), func() { s.send(d, incarnation, GrantResultMsg{Cmd: c, EndedAt: s.now, Result: grant.OutcomeUnknown}) })
 		return
@@ -68,7 +71,7 @@
 	s.after(s.randomDuration(0, 20*time.Millisecond), func() { s.send(d, incarnation, GrantResultMsg{Cmd: c, EndedAt: s.now, Result: r}) })
 }
 
-func (s *simulation) applyGrant(srv *server, c GrantCmd, arrived time.Time) grant.Result {
+func (s *simulation) applyGrant(srv *server, c GrantCmd, arrivedAt time.Time) grant.Result {
 	if !srv.running {
 		return grant.OutcomeUnknown
 	}
@@ -80,7 +83,7 @@
 	}
 	for b := from; b <= to; b++ {
 		srv.fences[b] = c.Fence
-		if expiresAt := arrived.Add(time.Duration(float64(c.TTL) * srv.clockRatio)); expiresAt.After(srv.expiresAt[b]) {
+		if expiresAt := arrivedAt.Add(time.Duration(float64(c.TTL) * srv.clockRatio)); expiresAt.After(srv.expiresAt[b]) {
 			srv.expiresAt[b] = expiresAt
 		}
 	}
@@ -149,9 +152,10 @@
 	s.send(d, incarnation, StoredTableMsg{Table: s.table, Revision: s.storeRevision, RequestedAt: s.now})
 }
 
-// mayTakeLead reports whether a daemon tries to take the lead in this step. While no daemon
-// leads, each tries once a second, at a moment that depends on its incarnation, so that daemons
-// that have been restarted try at other times. While another one leads, a daemon tries at random.
+// mayTakeLead reports whether a daemon tries to take the lead in this step. In any step it tries
+// with a small probability, whether another daemon leads or not. While no daemon leads, each also
+// tries once a second, at a moment that depends on its incarnation, so that daemons that have been
+// restarted try at other times.
 func (s *simulation) mayTakeLead(d *daemon) bool {
 	if s.now.Before(d.storeUnreachableUntil) {
 		return false
@@ -183,7 +187,7 @@
 	d.keeper = New(s.now, next, s.storeRevision, WithGrantTTL(simGrantTTL), WithLeaderLease(simLeaderLease))
 }
 
-// injectFaults draws the faults of this step.
+// injectFaults starts at most one random fault, with a small probability in each step.
 func (s *simulation) injectFaults() {
 	if s.faultFree {
 		return
--- a/core/request/spread/cold.go
+++ b/core/request/spread/cold.go
@@ -15,40 +15,41 @@
 	refilledAt time.Time
 }
 
-// rate is this daemon's share of the request rate allowed at a cold server. The daemons need no
+// rateLimit is this daemon's share of the limit on requests to a cold server. The daemons need no
 // coordination: the shares are such that all their bursts, together with their requests in the
 // following second, stay within the limit.
-type rate struct {
+type rateLimit struct {
 	perSecond float64
 	burst     float64
 }
 
-// coldRate divides the limit for a cold server among the daemons. In any second they send at
-// most daemons*burst + ColdRate requests; the limit is ColdRate*ColdFactor + ColdSlack. If
-// the burst is less than one request for each daemon, only some daemons may send to a cold
-// server at all, and which ones depends on the server.
-func (b *Balancer) coldRate(service config.Service, serverID string) rate {
+// coldRateLimit returns this daemon's share of the limit for a cold server, which is
+// ColdRate*ColdFactor + ColdSlack. In any second the sending daemons together send at most
+// sendingDaemons*burst + ColdRate requests. If totalBurst is less than one request for each
+// daemon, only some daemons may send to a cold server at all, and which ones depends on the
+// server.
+func (b *Balancer) coldRateLimit(service config.Service, serverID string) rateLimit {
 	daemons := max(1, b.limits.Daemons)
 	totalBurst := coldBurstShare * (service.ColdRate*(b.limits.ColdFactor-1) + b.limits.ColdSlack)
-	sharers := max(1, min(daemons, int(totalBurst)))
+	sendingDaemons := max(1, min(daemons, int(totalBurst)))
 	index := (b.limits.Index + int(xxhash.Sum64String(serverID)%uint64(daemons))) % daemons
-	if index >= sharers {
-		return rate{}
+	if index >= sendingDaemons {
+		return rateLimit{}
 	}
-	return rate{perSecond: service.ColdRate / float64(sharers), burst: max(1, totalBurst/float64(daemons))}
+	return rateLimit{perSecond: service.ColdRate / float64(sendingDaemons), burst: max(1, totalBurst/float64(daemons))}
 }
 
-func (b *tokenBucket) hasToken(now time.Time, r rate) bool {
+func (b *tokenBucket) hasToken(now time.Time, r rateLimit) bool {
 	b.refill(now, r)
 	return b.tokens >= 1
 }
 
-func (b *tokenBucket) take(now time.Time, r rate) {
+func (b *tokenBucket) take(now time.Time, r rateLimit) {
 	b.refill(now, r)
 	b.tokens--
 }
 
-func (b *tokenBucket) refill(now time.Time, r rate) {
+func (b *tokenBucket) refill(now time.Time, r rateLimit) {
 	if b.refilledAt.IsZero() {
 		b.refilledAt = now
 	}
--- a/core/request/spread/learn.go
+++ b/core/request/spread/learn.go
@@ -66,8 +66,8 @@
 // very slow sends no responses from which to update the estimate.
 func (b *Balancer) currentSlowdown(now time.Time, st *serverState, typicalSeconds float64) float64 {
 	estimate := st.slowdown
-	if st.reportedSlowdown.known() {
-		estimate = st.reportedSlowdown.expected(now)
+	if st.slowdownFromReports.known() {
+		estimate = st.slowdownFromReports.expected(now)
 	}
 	if len(st.startTimes) > 0 && typicalSeconds > 0 {
 		estimate = max(estimate, now.Sub(st.startTimes[0]).Seconds()/typicalSeconds/2)
--- a/core/request/spread/slowdown.go
+++ b/core/request/spread/slowdown.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// noiseTimeConstant is the time constant with which the latest reported slowdown loses
-	// weight: the load of other processes on the same host changes a few times a second.
-	noiseTimeConstant = 200 * time.Millisecond
+	// latestSlowdownTimeConstant is the time constant with which the latest reported slowdown
+	// loses weight: the load of other processes on the same host changes a few times a second.
+	latestSlowdownTimeConstant = 200 * time.Millisecond
 	// minLongTermWeight is the minimum weight of one report in the long-term slowdown.
 	minLongTermWeight = 0.05
 )
 
-// reportedSlowdown tracks the slowdown that a server reports: its long-term mean and the
+// slowdownEstimate estimates a server's slowdown from its reports: their long-term mean and the
 // latest value. A server that shares its host may be slow for short periods, so the latest
 // value counts for a moment before the estimate returns to the mean.
-type reportedSlowdown struct {
+type slowdownEstimate struct {
 	longTerm float64
 	latest   float64
 	latestAt time.Time
@@ -24,17 +24,17 @@
 }
 
 // known reports whether the server has ever reported its slowdown.
-func (r *reportedSlowdown) known() bool { return r.reports > 0 }
+func (r *slowdownEstimate) known() bool { return r.reports > 0 }
 
 // add updates the estimate with a reported slowdown.
-func (r *reportedSlowdown) add(now time.Time, slowdown float64) {
+func (r *slowdownEstimate) add(now time.Time, slowdown float64) {
 	r.reports++
 	r.longTerm += max(minLongTermWeight, 1/float64(r.reports)) * (slowdown - r.longTerm)
 	r.latest, r.latestAt = slowdown, now
 }
 
 // expected returns the slowdown of a request that begins now.
-func (r *reportedSlowdown) expected(now time.Time) float64 {
-	weight := math.Exp(-float64(now.Sub(r.latestAt)) / float64(noiseTimeConstant))
+func (r *slowdownEstimate) expected(now time.Time) float64 {
+	weight := math.Exp(-float64(now.Sub(r.latestAt)) / float64(latestSlowdownTimeConstant))
 	return r.longTerm + weight*(r.latest-r.longTerm)
 }
--- a/core/request/spread/spread.go
+++ b/core/request/spread/spread.go
@@ -9,19 +9,19 @@
 
 // serverState holds what this daemon knows about one server.
 type serverState struct {
-	inFlight         int         // requests from this daemon
-	startTimes       []time.Time // of the requests in flight
-	reportedLoad     float64     // requests from other daemons, running and waiting
-	reportedAt       time.Time
-	slowdown         float64 // service time relative to a server of typical speed
-	slowdownSamples  int     // number of responses behind slowdown, at most maxSlowdownSamples
-	reportedSlowdown reportedSlowdown
-	failureRate      float64
-	pausedUntil      time.Time
-	connectFailed    bool // a connection attempt failed, and no response came since
-	coldBucket       tokenBucket
-	startMillis      int64 // distinguishes the instances of the server
-	coldUntil        time.Time
+	inFlight            int         // requests from this daemon
+	startTimes          []time.Time // of the requests in flight
+	reportedLoad        float64     // requests from other daemons, running and waiting
+	reportedAt          time.Time
+	slowdown            float64 // service time relative to a server of typical speed
+	slowdownSamples     int     // number of responses behind slowdown, at most maxSlowdownSamples
+	slowdownFromReports slowdownEstimate
+	failureRate         float64
+	pausedUntil         time.Time
+	connectFailed       bool // a connection attempt failed, and no response came since
+	coldBucket          tokenBucket
+	startMillis         int64 // distinguishes the instances of the server
+	coldUntil           time.Time
 	// loadReports counts the reports of the server's load since the stats were last taken,
 	// and longQueueReports those of them with a long queue.
 	loadReports, longQueueReports int
@@ -62,7 +62,7 @@
 	st.inFlight++
 	st.startTimes = append(st.startTimes, now)
 	if now.Before(st.coldUntil) {
-		st.coldBucket.take(now, b.coldRate(req.Service, server.ID))
+		st.coldBucket.take(now, b.coldRateLimit(req.Service, server.ID))
 	}
 }
 
@@ -86,8 +86,8 @@
 			}
 		}
 		if report.Slowdown > 0 {
-			st.reportedSlowdown.add(now, report.Slowdown)
-			st.slowdown = st.reportedSlowdown.longTerm
+			st.slowdownFromReports.add(now, report.Slowdown)
+			st.slowdown = st.slowdownFromReports.longTerm
 			st.addSlowdown(report.Slowdown)
 		}
 	}
--- a/core/version/config/config.go
+++ b/core/version/config/config.go
@@ -10,8 +10,8 @@
 
 // Config is one accepted version of the configuration, in the form that routing uses. It is
 // derived from the operator's site (see package site) or from the configuration of another
-// platform. The json tags of all types are the names in encoded configurations, which keep
-// their names when fields are renamed.
+// platform. The json tags of all types are the field names in encoded configurations, so they must
+// not change when fields are renamed.
 type Config struct {
 	// Version increases with each accepted change, not necessarily by one.
 	Version  uint64    `json:"version"`
@@ -59,7 +59,7 @@
 	// LatencyTarget is the latency within which callers should get their replies.
 	LatencyTarget time.Duration `json:"aim"`
 	// MaxAttempts limits how often one request may be sent, to the same or to different
-	// backend servers. Attempts that certainly reach no server do not count.
+	// backend servers. Attempts that certainly reached no server do not count.
 	MaxAttempts int `json:"attempts"`
 	// Priority orders the routes of a service; 0 is the highest priority.
 	Priority int `json:"priority"`
--- a/core/version/grant/call.go
+++ b/core/version/grant/call.go
@@ -15,7 +15,8 @@
 	// address. Refused connections prove nothing: a network partition may refuse them
 	// while the holder is running and others can reach it.
 	Ended
-	// NotSent means that no byte of the call was sent.
+	// NotSent means that no byte of the call was sent, or that the server states that it did not
+	// carry the call out.
 	NotSent
 	// OutcomeUnknown means that the call may have been carried out, or may still be.
 	OutcomeUnknown
@@ -37,19 +38,21 @@
 	}
 }
 
-// Origin is how a server came to hold a range. It determines what the server can know about the
-// requests that ran on these keys before.
+// Origin says who held a range before a grant of it, and what became of that holder's state. From
+// this the server can tell what it knows about earlier requests for these keys.
 type Origin string
 
 // Origins of grants.
 const (
-	// Kept means that the server already held the range.
+	// Kept means that the server held the range already.
 	Kept Origin = "kept"
-	// First means that no server held it before.
+	// First means that no server held the range before.
 	First Origin = "first"
-	// Handed means that the last holder released the range and handed over its state.
+	// Handed means that the last holder released the range. Handover is the state that it
+	// returned.
 	Handed Origin = "handed"
-	// Lost means that the last holder did not release the range, so that its state is lost.
+	// Lost means that the last holder did not release the range, so that what it knew of the keys
+	// is lost.
 	Lost Origin = "lost"
 )
 
--- a/core/version/reopen/reopen_test.go
+++ b/core/version/reopen/reopen_test.go
@@ -21,8 +21,9 @@
 	return grant.Table{Services: []grant.ServiceRanges{{Service: "s", Ranges: []grant.Range{r}}}}
 }
 
-// replayClosedPeriods observes a range that is closed for each of the given times in turn.
-func replayClosedPeriods(estimator *Estimator, holderLost bool, seconds ...float64) {
+// observeClosedPeriods makes the estimator observe a range that is closed and opened again several
+// times, with closed periods of the given lengths.
+func observeClosedPeriods(estimator *Estimator, holderLost bool, seconds ...float64) {
 	now := 0.0
 	for _, s := range seconds {
 		estimator.Observe(at(now), newTable(true), func(grant.Holder) bool { return !holderLost })
@@ -35,7 +36,7 @@
 func TestEstimateReopening(t *testing.T) {
 	Convey("A range is expected to stay closed for as long as before in its service", t, func() {
 		estimator := New()
-		replayClosedPeriods(estimator, false, 0.4, 0.8, 0.9, 1.0, 2.0)
+		observeClosedPeriods(estimator, false, 0.4, 0.8, 0.9, 1.0, 2.0)
 		estimator.Observe(at(100), newTable(true), func(grant.Holder) bool { return true })
 		r := newTable(true).Services[0].Ranges[0]
 		e := estimator.EstimateReopening(at(100), "s", r, true)
@@ -45,7 +46,7 @@
 			e := estimator.EstimateReopening(at(100.85), "s", r, true)
 			So(e.Median, ShouldAlmostEqual, 150*time.Millisecond, time.Millisecond)
 		})
-		Convey("A range that has been closed for longer than any before is expected to stay closed for half as long again", func() {
+		Convey("A range that has been closed for longer than any before is expected to stay closed for another half of that time", func() {
 			So(estimator.EstimateReopening(at(104), "s", r, true).Median, ShouldEqual, 2*time.Second)
 		})
 		Convey("The defaults apply to a service or to a lost holder without earlier closed periods", func() {
@@ -55,9 +56,9 @@
 			So(estimator.EstimateReopening(at(100), "s", otherRange, false).Median, ShouldEqual, defaultLostTime)
 		})
 	})
-	Convey("Ranges of lost holders are estimated from earlier ranges of lost holders", t, func() {
+	Convey("Closed periods of lost holders are estimated from earlier ones of lost holders", t, func() {
 		estimator := New()
-		replayClosedPeriods(estimator, true, 3.4, 3.5, 3.6)
+		observeClosedPeriods(estimator, true, 3.4, 3.5, 3.6)
 		estimator.Observe(at(100), newTable(true), func(grant.Holder) bool { return false })
 		So(estimator.EstimateReopening(at(101), "s", newTable(true).Services[0].Ranges[0], false).Median, ShouldEqual, 2500*time.Millisecond)
 	})
--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -7,21 +7,23 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Site is the whole configuration. Treat it as immutable. The yaml tags of all types are the
-// names in the operators' files, which keep their names when fields are renamed.
+// Site is the whole configuration. Treat it as immutable. The yaml tags of all types are the field
+// names in operators' files and in the store, so they must not change when fields are renamed.
 type Site struct {
 	// Name identifies the site in reports.
 	Name        string       `yaml:"name"`
 	Services    []Service    `yaml:"services"`
 	DataCentres []DataCentre `yaml:"dataCentres"`
-	// Presets are the operator's prepared settings. Exactly one is active in a valid site.
+	// Presets are the sets of settings that the operator can choose from. Exactly one is active in
+	// a valid site.
 	Presets []Preset `yaml:"presets"`
 	// Exclusions are the data centres and hosts that commands took out of service.
 	Exclusions []Exclusion `yaml:"outs,omitempty"`
-	// Change describes the change that made this version, to report conflicts.
+	// Change describes the change that made this version. An operator whose own change conflicts
+	// with it is shown this text.
 	Change string `yaml:"change,omitempty"`
-	// WriteID is unique to each write. A writer that did not get the store's response
-	// recognises by it whether its change was made.
+	// WriteID is unique to each write. A writer that got no response from the store compares it
+	// with the stored one to find out whether its change was made.
 	WriteID string `yaml:"writer,omitempty"`
 }
 
@@ -40,10 +42,10 @@
 	Slots int `yaml:"slots"`
 	// MaxConnections limits the connections from all daemons together to one server.
 	MaxConnections int `yaml:"connections"`
-	// DefaultTimeout applies to requests without a time limit; default 5s.
+	// DefaultTimeout applies to requests that set no timeout themselves; default 5s.
 	DefaultTimeout time.Duration `yaml:"deadline,omitempty"`
 	// MaxAttempts limits how often one request may be sent, to the same or to different
-	// servers; default 2. Attempts that certainly reach no server do not count.
+	// servers; default 2. Attempts that certainly reached no server do not count.
 	MaxAttempts int `yaml:"attempts,omitempty"`
 	// ColdPeriod is how long a server is cold after its start, that is, can handle only
 	// ColdRate requests per second; default 3s.
@@ -57,14 +59,15 @@
 	Objectives        Objectives `yaml:"levels,omitempty"`
 }
 
-// Objectives are the service level objectives of a service. The burn report shows how fast
-// their error budgets are used up.
+// Objectives are the service level objectives of a service. The burn report, which package burn
+// computes, shows how fast requests that miss them use up the error budgets.
 type Objectives struct {
-	// AnsweredShare is the share of requests to be answered; default 0.999.
+	// AnsweredShare is the objective for the share of requests that are answered; default 0.999.
 	AnsweredShare float64 `yaml:"answered,omitempty"`
-	// LatencyThreshold is the latency that FastShare refers to; default 100ms.
+	// LatencyThreshold determines the latency target of the service's routes, within which an
+	// answer is fast; default 100ms.
 	LatencyThreshold time.Duration `yaml:"within,omitempty"`
-	// FastShare is the share of replies to arrive within LatencyThreshold; default 0.99.
+	// FastShare is the objective for the share of answers that are fast; default 0.99.
 	FastShare float64 `yaml:"fastShare,omitempty"`
 }
 
@@ -94,8 +97,8 @@
 	ExcludedDataCentres []string `yaml:"out,omitempty"`
 }
 
-// Exclusion takes a data centre or a host out of service. The operator's status encodes it
-// as JSON under the Go names of its fields, so renaming a field would change that output.
+// Exclusion takes a data centre or a host out of service. The status that operators query
+// contains it as JSON with the Go names of its fields, so these must not change.
 type Exclusion struct {
 	DataCentre string `yaml:"dataCentre,omitempty"`
 	// Host is the address of a backend server, or the IP address of a host for all servers
@@ -152,8 +155,8 @@
 	return Preset{}
 }
 
-// DataCentreExcluded reports whether a data centre is out of service by an exclusion
-// or by the active preset.
+// DataCentreExcluded reports whether an exclusion or the active preset takes a data centre out of
+// service.
 func (s Site) DataCentreExcluded(name string) bool {
 	for _, e := range s.Exclusions {
 		if e.DataCentre == name {
@@ -168,7 +171,8 @@
 	return false
 }
 
-// HostExcluded reports whether an exclusion takes a backend server out of service.
+// HostExcluded reports whether an exclusion takes the backend server at an address, or all servers
+// on its host, out of service.
 func (s Site) HostExcluded(address string) bool { return s.hostExclusion(address).Host != "" }
 
 // IsIdempotent reports whether requests with the method may run more than once.
