--- a/core/process/burn/burn.go
+++ b/core/process/burn/burn.go
@@ -115,7 +115,8 @@
 	return out
 }
 
-// Objective is the service level objective of a service.
+// Objective is the service level objective of a service: the share of requests that should be
+// answered, and the share of answers that should come within the latency target.
 type Objective struct {
 	Service       string
 	AnsweredShare float64
--- a/core/process/keeper/balance.go
+++ b/core/process/keeper/balance.go
@@ -90,8 +90,9 @@
 
 // balance moves pieces of ranges to servers where fewer requests are lost, a few pieces at
 // a time. As a result a hot key moves to a fast server, other keys move away from that
-// server, and a slow server keeps only as many keys as it can serve in time. Servers
-// without keys get some in separate rounds. A server takes part in one move at a time.
+// server, and a slow server keeps only as many keys as it can serve in time. At longer
+// intervals, a round begins with moves to servers without keys. A server takes part in one
+// move at a time.
 func (k *Keeper) balance(now time.Time, s *serviceState) {
 	if k.rebalancingDisabled || now.Sub(s.balancedAt) < balanceInterval {
 		return
--- a/core/process/keeper/keeper.go
+++ b/core/process/keeper/keeper.go
@@ -46,8 +46,8 @@
 	// still names it as the holder, so that a new leader, which does not have the handover,
 	// asks it again. It is empty once Holder has confirmed its grant.
 	releasedBy grant.Holder
-	// closedSince is when a move closed the range to callers; zero while the range is open,
-	// or if its holder was lost and so did not release it.
+	// closedSince is when a move closed the range to callers; zero while the range is open, or
+	// once it has been assigned to the next holder without a handover.
 	closedSince time.Time
 }
 
--- a/core/process/keeper/leadership_test.go
+++ b/core/process/keeper/leadership_test.go
@@ -104,7 +104,7 @@
 func TestPreviousLeaderMayStillRenewUnreachableHolder(t *testing.T) {
 	notSent := alwaysResult(grant.NotSent)
 	initial := grant.Range{Holder: holderOf(testServer("a", false))}
-	Convey("Its keys wait for the previous leader's lease plus the grant TTL", t, func() {
+	Convey("The keys of an unreachable holder wait for the previous leader's lease plus the grant TTL", t, func() {
 		h := newHarness(initial, WithGrantTTL(2*time.Second), WithLeaderLease(8*time.Second))
 		h.setFleet(testServer("b", false))
 		h.advance(10*time.Second, notSent, notSent)
@@ -112,7 +112,7 @@
 		h.advance(4*time.Second, notSent, notSent)
 		So(h.grantsTo("b"), ShouldNotBeEmpty)
 	})
-	Convey("They wait only for the grant TTL once the previous leader is known to have stopped", t, func() {
+	Convey("Its keys wait only for the grant TTL once the previous leader is known to have stopped", t, func() {
 		h := newHarness(initial, WithGrantTTL(2*time.Second), WithLeaderLease(8*time.Second))
 		h.setFleet(testServer("b", false))
 		h.update(PreviousLeaderStoppedMsg{At: h.now})
@@ -142,7 +142,7 @@
 // Guards against a leader that was suspended and replaced, and goes on granting from outdated
 // state when it wakes.
 func TestSuspendedLeaderChecksItsEpoch(t *testing.T) {
-	Convey("It reads the stored epoch before it calls any server", t, func() {
+	Convey("A leader that was suspended reads the stored epoch before it calls any server", t, func() {
 		h := newHarness(grant.Range{Holder: holderOf(testServer("a", false))})
 		h.setFleet(testServer("a", false))
 		h.advance(time.Second, alwaysResult(grant.Done), alwaysResult(grant.Done))
@@ -183,7 +183,8 @@
 	})
 }
 
-// Guards against keys that are repeatedly given back to a server that died but is still listed.
+// Guards against keys that are repeatedly given back to a server whose process has ended but which
+// is still listed.
 func TestUnresponsiveServerGetsNoKeys(t *testing.T) {
 	unresponsive := map[string]bool{"a": true}
 	answer := func(address string) grant.Result {
@@ -199,7 +200,7 @@
 		h.advance(6*time.Second, answer, answer)
 		return h
 	}
-	Convey("It gets no keys while it has not answered", t, func() {
+	Convey("A server gets no keys while it does not answer", t, func() {
 		h := start()
 		grantsBefore := len(h.grantsTo("a"))
 		h.advance(unresponsivePeriod-3*time.Second, answer, answer)
@@ -210,7 +211,7 @@
 			So(r.IsOpen(), ShouldBeTrue)
 		}
 	})
-	Convey("It is called again after unresponsivePeriod, and gets keys once it answers", t, func() {
+	Convey("A server that did not answer is called again after unresponsivePeriod, and gets keys once it answers", t, func() {
 		h := start()
 		unresponsive["a"] = false
 		h.advance(2*unresponsivePeriod, answer, answer)
@@ -221,7 +222,7 @@
 // Guards against requests that are refused until grants expire although the holder is known to
 // have ended. That happens if a new server list makes the leader forget the end.
 func TestInstanceEndIsRemembered(t *testing.T) {
-	Convey("Its keys move at once, and the end is logged once", t, func() {
+	Convey("The keys of an instance that has ended move at once, and the end is logged once", t, func() {
 		h := newHarness(grant.Range{Holder: holderOf(testServer("a", false))}, WithGrantTTL(2*time.Second), WithLeaderLease(8*time.Second))
 		h.setFleet(testServer("b", false))
 		answer := func(address string) grant.Result {
--- a/core/process/keeper/limits.go
+++ b/core/process/keeper/limits.go
@@ -14,17 +14,17 @@
 	control *admit.Controller
 	// limitsActive is set if the last round resulted in limits or contended servers.
 	limitsActive bool
-	roundAt      time.Time
+	lastRoundAt  time.Time
 }
 
 // updateLimits tells the daemons what fraction of the requests they may send to holders
 // that receive more than they can answer in time. It sends an empty LimitCmd once no
 // holder is overloaded any more.
 func (k *Keeper) updateLimits(now time.Time) {
-	if now.Sub(k.limitState.roundAt) < limitInterval {
+	if now.Sub(k.limitState.lastRoundAt) < limitInterval {
 		return
 	}
-	k.limitState.roundAt = now
+	k.limitState.lastRoundAt = now
 	k.limitState.control.EndRound(now)
 	cmd := LimitCmd{}
 	for _, s := range k.services {
--- a/core/process/keeper/limits_test.go
+++ b/core/process/keeper/limits_test.go
@@ -57,8 +57,8 @@
 
 // Guards against a hot key, requested by all daemons at once, that fills its holder's queue so
 // that requests for the other keys there are late too.
-func TestOneHotKeyIsLimited(t *testing.T) {
-	Convey("The key is limited to what its holder can run, and no other key is limited", t, func() {
+func TestOnlyHotBucketIsLimited(t *testing.T) {
+	Convey("The hot bucket is limited to what its holder can run, and no other bucket is limited", t, func() {
 		l, _, h := newBalancedModel(200)
 		before := latestLimits(h)
 		So(before, ShouldBeEmpty)
--- a/core/process/keeper/moves_test.go
+++ b/core/process/keeper/moves_test.go
@@ -63,7 +63,7 @@
 
 // Guards against a cold server that gets half of the load of the busiest server.
 func TestColdServerGetsFewKeys(t *testing.T) {
-	Convey("It first gets no more than it can handle, and more once it is warm", t, func() {
+	Convey("A cold server first gets no more than it can handle, and more once it is warm", t, func() {
 		l, servers, h := newBalancedModel(400)
 		cold := testServer("cold", false)
 		cold.ColdLeft, cold.Slots = 3*time.Second, 4
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -295,7 +295,8 @@
 }
 
 // HasSteppedDown reports whether a previous leader is known to have ended, or to know the given
-// epoch, so that it has stopped giving grants.
+// epoch, so that it has stopped giving grants. That is also the case if there was no previous
+// leader, or if it was this daemon itself.
 func (c *Cluster) HasSteppedDown(l grant.Leader, epoch uint64) bool {
 	if l.Daemon == "" || l.Daemon == c.self.Name {
 		return true
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -88,7 +88,7 @@
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(11.3)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeTrue)
 	})
-	Convey("It keeps the lead when the store responds to no daemon", t, func() {
+	Convey("A leader keeps the lead when the store responds to no daemon", t, func() {
 		c := newTestCluster()
 		c.RecordGossip(at(11.4), newMember("a", "x", 1), Status{LastStoreResponse: at(9.9)})
 		So(c.ShouldStepDown(at(11.5)), ShouldBeFalse)
@@ -167,14 +167,14 @@
 			So(c.ShouldRead(at(10).Add(silenceTimeout), at(10).Add(silenceTimeout), false), ShouldBeFalse)
 		})
 	})
-	Convey("A daemon on a host that is little stronger, or of unknown strength, does not", t, func() {
+	Convey("A daemon on a host that is only a little stronger, or of unknown strength, does not take over", t, func() {
 		for _, strength := range []float64{0, 0.2, 0.3} {
 			c := clusterWithWeakLeader(memberOfStrength("b", "x", strength), at(9.9))
 			So(triesToLead(c, at(10.1)), ShouldBeFalse)
 			So(c.ShouldRead(at(10.1), at(10), false), ShouldBeFalse)
 		}
 	})
-	Convey("Of several such daemons only the relays do, in the order of their rank", t, func() {
+	Convey("Of several daemons on much stronger hosts, only the relays take over, in the order of their rank", t, func() {
 		c := clusterWithWeakLeader(memberOfStrength("c", "x", 0.8), at(9.9))
 		c.RecordGossip(at(10), memberOfStrength("a", "x", 0.8), Status{LastStoreResponse: at(10)})
 		So(triesToLead(c, at(10.1)), ShouldBeFalse)
--- a/core/process/member/reader.go
+++ b/core/process/member/reader.go
@@ -13,8 +13,8 @@
 // has responded since.
 func (c *Cluster) LastStoreFailure() time.Time { return c.lastStoreFailure }
 
-// ShouldRead reports whether this daemon should read the store on behalf of the others. A
-// daemon that is not the leader reads if its copy of the store, which was last known to be
+// ShouldRead reports whether this daemon should read the store on behalf of the others. The leader
+// always does. Another daemon reads if its copy of the store, which was last known to be
 // current at currentAt, has been stale for so long that any daemon of its data centre that
 // ranks before it would have refreshed it. Daemons that are not relays wait longer, since
 // updates reach them some rounds of gossip later. A daemon that should replace a leader on a
--- a/core/process/member/reader_test.go
+++ b/core/process/member/reader_test.go
@@ -52,13 +52,13 @@
 		So(standbyReaders("c", noFailure), ShouldResemble, []string{"a"})
 		So(standbyReaders("", noFailure), ShouldBeEmpty)
 	})
-	Convey("The next one replaces it when the store fails it or it is lost", t, func() {
+	Convey("The next daemon replaces the standby reader when that one's calls to the store fail or it is lost", t, func() {
 		So(standbyReaders("a", storeFails("c")), ShouldResemble, []string{"d"})
 		So(standbyReaders("a", storeFails("c", "d")), ShouldResemble, []string{"e"})
 		So(standbyReaders("a", func(c *Cluster) { c.RecordRefused("c:1") }), ShouldResemble, []string{"c", "d"}) // "c" itself cannot know
 		So(standbyReaders("a", storeFails("c", "d", "e")), ShouldResemble, []string{"b"})
 	})
-	Convey("It may be the standby again once the store has responded to it, or after the backoff", t, func() {
+	Convey("A daemon may be the standby reader again once the store has responded to it, or after the backoff", t, func() {
 		c := newFiveDaemonCluster("c")
 		c.RecordStoreFailure(at(10))
 		So(c.IsStandbyReader(at(10.1), "a"), ShouldBeFalse)
--- a/core/process/rate/estimator.go
+++ b/core/process/rate/estimator.go
@@ -36,8 +36,9 @@
 }
 
 // firstHalfRate returns the part of a range's rate that belongs to the first half of the range.
-// What exceeds the average rate is split in proportion to how far the recent rate of each half
-// exceeds its own average.
+// A rate up to the range's average is split in proportion to the average rates of the halves.
+// What exceeds the average is split in proportion to how far the recent rate of each half exceeds
+// its own average, or evenly if neither does.
 func (e estimator) firstHalfRate(from, middle, to int, rate float64) float64 {
 	first, firstExcess := e.averageAndExcess(from, middle)
 	second, secondExcess := e.averageAndExcess(middle, to)
--- a/core/process/rate/rate_test.go
+++ b/core/process/rate/rate_test.go
@@ -74,9 +74,9 @@
 	})
 }
 
-// Guards against a key that becomes hot, or cools down, without showing within two windows.
-func TestHotKey(t *testing.T) {
-	Convey("A hot key is detected within two windows, and so is its end", t, func() {
+// Guards against a bucket that becomes hot, or cools down, without being noticed within two windows.
+func TestHotBucket(t *testing.T) {
+	Convey("A hot bucket is detected within two windows, and so is the end of its load", t, func() {
 		traffic := newTraffic(uniform(100, 0.5))
 		traffic.run(20)
 		traffic.rates[7] = 60
--- a/core/process/speed/speed_test.go
+++ b/core/process/speed/speed_test.go
@@ -37,7 +37,7 @@
 
 // Guards against a slow server that goes unnoticed because each daemon gets too few answers from it.
 func TestCombinedSamplesShowSlowServer(t *testing.T) {
-	Convey("The answers of a minute show it, however many daemons got them", t, func() {
+	Convey("The answers of a minute show that a server has become slow, however many daemons got them", t, func() {
 		for _, daemons := range []int{4, 200, 1500} {
 			Convey(fmt.Sprintf("%d daemons", daemons), func() {
 				e := New()
@@ -52,7 +52,7 @@
 			})
 		}
 	})
-	Convey("The answers of a moment do not", t, func() {
+	Convey("A few slow answers hardly change the slowdown of a server", t, func() {
 		e := New()
 		for range 300 {
 			e.Add("a", Sample{Slowdown: 1, Answers: 1})
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -46,14 +46,14 @@
 				slot = i
 			}
 		}
-		begin := max(at, slotFreeAt[slot])
-		if begin-at > time.Duration(float64(queueLimit)/3*float64(serviceTime)) {
+		startsAt := max(at, slotFreeAt[slot])
+		if startsAt-at > time.Duration(float64(queueLimit)/3*float64(serviceTime)) {
 			continue // the server's queue is full
 		}
-		elapsed := time.Duration(float64(serviceTime) * random.ExpFloat64())
-		slotFreeAt[slot] = begin + elapsed
+		runTime := time.Duration(float64(serviceTime) * random.ExpFloat64())
+		slotFreeAt[slot] = startsAt + runTime
 		switch {
-		case begin+elapsed-at > latencyTarget:
+		case startsAt+runTime-at > latencyTarget:
 		case isHot:
 			hotOnTime++
 		default:
@@ -66,7 +66,7 @@
 // Guards against daemons that together overfill the queue of a server, since none of them sees the
 // requests of the others.
 func TestHotKeyOverManyDaemons(t *testing.T) {
-	Convey("More requests are answered in time, above all those for the other keys", t, func() {
+	Convey("With limits, more requests are answered in time, above all those for the other keys", t, func() {
 		const hotRate, otherRate, slots, serviceSeconds = 100.0, 2.0, 3.0, 0.67
 		demands := []float64{hotRate * serviceSeconds, otherRate * serviceSeconds}
 		share := FairShare(demands, 0.85*slots)
--- a/core/request/crash/crash_test.go
+++ b/core/request/crash/crash_test.go
@@ -10,7 +10,7 @@
 // Guards against a request that crashes one server after another.
 func TestCrashingRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
-	Convey("It is refused from the threshold on, until the retention time has passed", t, func() {
+	Convey("A request is refused from the threshold on, until the retention time has passed", t, func() {
 		s := New(2, time.Minute)
 		So(s.RecordLoss(now, 7, "a"), ShouldBeTrue)
 		So(s.RecordLoss(now, 7, "a"), ShouldBeFalse)
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -22,9 +22,9 @@
 	// interval between two counts grows with the number of daemons in the data centre. With up
 	// to twenty daemons, a count is used until the next one has arrived.
 	peerLoadValidity = 2 * reportHalfWeightAge
-	// maxLocalSlowdown is the slowdown from which a local server with a free slot no longer
-	// keeps remote servers from being considered. Servers of one service differ in speed by
-	// a factor of up to three.
+	// maxLocalSlowdown bounds the slowdown of a local server that can serve a request now.
+	// If the best local server has a free slot and a slowdown below this, remote servers are not
+	// considered. Servers of one service differ in speed by a factor of up to three.
 	maxLocalSlowdown = 1.6
 	// maxSlowdown and minSlowdown bound a server's slowdown, so that one outlier does not
 	// favour or exclude the server for long.
--- a/core/request/spread/overload_test.go
+++ b/core/request/spread/overload_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// inTime returns the share of requests that a simulated data centre answers in time.
-func inTime(daemons, servers int, perSecond float64) float64 {
+// inTimeShare returns the share of requests that a simulated data centre answers in time.
+func inTimeShare(daemons, servers int, perSecond float64) float64 {
 	sim := newSimulation(daemons, servers, 240*time.Millisecond, 660*time.Millisecond)
 	sim.run(perSecond, 40*time.Second)
 	return float64(sim.inTime) / float64(sim.offered)
@@ -35,7 +35,7 @@
 		perSecond        float64
 	}{{12, 40, 300}, {32, 40, 250}, {32, 40, 300}} {
 		Convey("With many daemons, nearly as many requests are answered in time as with two", t, func() {
-			few, many := inTime(2, tc.servers, tc.perSecond), inTime(tc.daemons, tc.servers, tc.perSecond)
+			few, many := inTimeShare(2, tc.servers, tc.perSecond), inTimeShare(tc.daemons, tc.servers, tc.perSecond)
 			t.Logf("%d daemons, %d servers, %.0f requests/s: %.3f in time, with two daemons %.3f", tc.daemons, tc.servers, tc.perSecond, many, few)
 			So(many, ShouldBeGreaterThan, few-tolerance)
 		})
--- a/core/version/config/config_test.go
+++ b/core/version/config/config_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func sample() Config {
+func sampleConfig() Config {
 	c := Config{Version: 7,
 		Routes: []Route{
 			{Name: "all", Host: "a.example", Prefix: "/", Destinations: []Destination{{Service: "s", Weight: 1}}},
@@ -21,7 +21,7 @@
 
 func TestMatch(t *testing.T) {
 	Convey("The route with the longest prefix at the host matches, whatever the order", t, func() {
-		c := sample()
+		c := sampleConfig()
 		for _, tc := range []struct {
 			host, path, name string
 			ok               bool
@@ -59,7 +59,7 @@
 
 func TestPickService(t *testing.T) {
 	Convey("Destinations are chosen in proportion to their weights", t, func() {
-		r, _ := sample().Match("a.example", "/x/y/z", "GET")
+		r, _ := sampleConfig().Match("a.example", "/x/y/z", "GET")
 		counts := map[string]int{}
 		for i := range 1000 {
 			counts[r.PickService(float64(i)/1000)]++
@@ -68,20 +68,20 @@
 		So(counts["t"], ShouldEqual, 100)
 	})
 	Convey("A random number just below 1 still yields a destination", t, func() {
-		r, _ := sample().Match("a.example", "/x/y/z", "GET")
+		r, _ := sampleConfig().Match("a.example", "/x/y/z", "GET")
 		So(r.PickService(0.9999999999999999), ShouldEqual, "t")
 	})
 }
 
 func TestCheck(t *testing.T) {
 	Convey("Invalid routes are reported with their kind", t, func() {
-		So(sample().Check(), ShouldBeNil)
-		unknown := sample()
+		So(sampleConfig().Check(), ShouldBeNil)
+		unknown := sampleConfig()
 		unknown.Routes = append(unknown.Routes, Route{Name: "r", Host: "h", Prefix: "/", Destinations: []Destination{{Service: "nowhere"}}})
 		var e *Error
 		So(errors.As(unknown.Check(), &e), ShouldBeTrue)
 		So(e.Kind, ShouldEqual, UnknownService)
-		incomplete := sample()
+		incomplete := sampleConfig()
 		incomplete.Routes = append(incomplete.Routes, Route{Name: "r", Host: "h", Prefix: "no-slash"})
 		So(errors.As(incomplete.Check(), &e), ShouldBeTrue)
 		So(e.Kind, ShouldEqual, BadRoute)
--- a/core/version/object/object.go
+++ b/core/version/object/object.go
@@ -64,7 +64,8 @@
 // Through returns the revision up to which every change is known.
 func (c *Cache) Through() uint64 { return c.through }
 
-// CurrentAt returns when that revision was last known to be current; zero means never.
+// CurrentAt returns when the revision that Through returns was last known to be current; zero means
+// never.
 func (c *Cache) CurrentAt() time.Time { return c.currentAt }
 
 // Get returns an object by name; false if it does not exist or was removed.
--- a/core/version/reopen/reopen.go
+++ b/core/version/reopen/reopen.go
@@ -88,8 +88,8 @@
 
 // EstimateReopening estimates how long it takes until a range opens again. A range that is still
 // open in the table, although its holder must not be used, counts as closed from now on.
-// holderAlive says whether the holder of such a range is alive. It has no effect for a range that
-// Observe has found closed, which recorded the state of the holder at that time.
+// holderAlive says whether the holder of such a range is alive. For a range that Observe has found
+// closed it has no effect, since Observe recorded whether the holder was alive at that time.
 func (e *Estimator) EstimateReopening(now time.Time, service string, r grant.Range, holderAlive bool) Estimate {
 	group := sampleGroup{service: service, holderLost: !holderAlive}
 	elapsed := time.Duration(0)
