--- a/core/process/keeper/balance.go
+++ b/core/process/keeper/balance.go
@@ -61,8 +61,8 @@
 	return 1
 }
 
-// leastLossTarget returns the eligible server at which moving the range there adds the fewest
-// lost requests, and the least utilised one among servers that are equal in this.
+// leastLossTarget returns the eligible server to which the range can move at the cost of the fewest
+// additional lost requests. Among servers that are equal in this it returns the least utilised one.
 func (k *Keeper) leastLossTarget(s *serviceState, rs *rangeState) (grant.Holder, bool) {
 	est, load := k.newLossEstimate(s), k.load(s, rs.From, rs.To)
 	best, least, found := fleet.Server{}, 0.0, false
--- a/core/process/keeper/move.go
+++ b/core/process/keeper/move.go
@@ -129,8 +129,8 @@
 		Call: grant.Call{Address: rs.Holder.Address, From: rs.From, To: rs.To, Fence: rs.Fence, TTL: k.grantTTL, Handover: rs.handover, Origin: rs.origin}})
 }
 
-// isFree reports whether the holder certainly runs no more requests for keys of the range. While
-// a call to it is in flight, that is unknown.
+// isFree reports whether the holder certainly runs no more requests for keys of the range. It
+// returns false while a call to the holder is in flight, since its result is not known yet.
 func (k *Keeper) isFree(now time.Time, rs *rangeState) bool {
 	if rs.callInFlight {
 		return false
@@ -209,7 +209,7 @@
 }
 
 // recordMoveDuration updates the average time for which moves close a range. Each service has
-// its own average, since a release takes as long as the service's running requests.
+// its own average, since a release takes as long as the requests that are running on the range.
 func (k *Keeper) recordMoveDuration(now time.Time, service string, rs *rangeState) {
 	if rs.closedSince.IsZero() {
 		return
--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -82,12 +82,12 @@
 	lastStoreFailure  time.Time
 	peers             map[string]*peer // by name
 	// observedLeader is the leader that was passed to the last call of ShouldTakeLead, and
-	// observedSince the time of the first of the calls with this leader. A leader that has
-	// sent no gossip yet counts as lost silenceTimeout after that.
+	// observedSince is when it was first passed. A leader that has sent no gossip yet counts as
+	// lost silenceTimeout after that.
 	observedLeader grant.Leader
 	observedSince  time.Time
-	// leaderToReplace is the leader from which the lead may be taken, and replaceableSince
-	// the time at which this daemon's delay before it tries to take the lead begins.
+	// leaderToReplace is the leader from which the lead may be taken, and replaceableSince is
+	// since when. The delay before this daemon tries to take the lead begins then.
 	leaderToReplace  grant.Leader
 	replaceableSince time.Time
 	// relaysByDataCentre caches the relays, which are looked up many times a second. It is
--- a/core/process/queue/queue.go
+++ b/core/process/queue/queue.go
@@ -19,9 +19,10 @@
 	slots       int
 	serviceTime float64 // seconds
 	maxRate     float64 // requests a second; 0 means no limit
-	// lateShares has an entry for each number of other requests that an arriving request may
-	// find at the server: the share of such requests that are answered after their latency
-	// target. A request that finds more others than that is refused.
+	// lateShares is indexed by the number of other requests that an arriving request finds at the
+	// server. An entry is the share of the requests with so many others ahead that are answered
+	// after their latency target. A request with more others ahead than there are entries for is
+	// refused.
 	lateShares []float64
 }
 
@@ -54,8 +55,8 @@
 	return 0.5 * math.Erfc((math.Log(limit)-logMedian)/math.Sqrt(2*variance))
 }
 
-// LostRate returns how many requests a second are not answered within their latency target, when
-// requests arrive at a rate.
+// LostRate returns how many requests a second are not answered within their latency target if they
+// arrive at the given rate.
 func (s Server) LostRate(rate float64) float64 {
 	if rate <= 0 || s.serviceTime <= 0 {
 		return 0
--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -25,7 +25,7 @@
 }
 
 // RecordLoss records servers that were lost while a request ran. It reports whether any of them
-// had not been recorded for the request, so that the other daemons need to know.
+// was not yet recorded for the request; if so, the other daemons need to know of the loss.
 func (s *Suspects) RecordLoss(now time.Time, fingerprint uint64, servers ...string) (changed bool) {
 	for f, entry := range s.requests {
 		if now.Sub(entry.lastLossAt) > s.retention {
--- a/core/request/subset/subset.go
+++ b/core/request/subset/subset.go
@@ -1,12 +1,12 @@
-// Package subset ranks all servers of a service for each daemon of a data centre, in the order in
-// which the daemon should prefer them.
+// Package subset ranks servers for each daemon of a data centre, in the order in which the daemon
+// should prefer them.
 //
 // Many daemons, each with a few requests a second, spread them over many servers. Each daemon
-// knows what it sent itself, and what all others had sent a second ago. Most requests take less
-// than a second, so by then the queues have changed. Without subsets, all daemons would send to the servers that looked idle a second
-// ago, and requests would queue there while other servers have free slots. So each daemon prefers
-// a few servers, which most other daemons do not prefer. It knows from its own requests how busy
-// they are, and reuses its connections to them.
+// knows what it sent itself, and what all others had sent a second ago. A request takes less time
+// than that, so the queues have changed since. Without subsets, all daemons would send to the
+// servers that looked idle a second ago, and requests would queue there while other servers have
+// free slots. So each daemon prefers a few servers, which most other daemons do not prefer. It
+// knows from its own requests how busy they are, and reuses its connections to them.
 //
 // Servers and daemons are spaced evenly around one ring, each in the order of their names. A
 // server has the lowest rank for the daemon next to it, and higher ranks for the following daemons
