--- a/core/process/keeper/leadership_test.go
+++ b/core/process/keeper/leadership_test.go
@@ -112,7 +112,7 @@
 		h.advance(4*time.Second, notSent, notSent)
 		So(h.grantsTo("b"), ShouldNotBeEmpty)
 	})
-	Convey("Its keys wait only for the grant TTL once the previous leader is known to have stopped", t, func() {
+	Convey("The keys of an unreachable holder wait only for the grant TTL once the previous leader is known to have stopped", t, func() {
 		h := newHarness(initial, WithGrantTTL(2*time.Second), WithLeaderLease(8*time.Second))
 		h.setFleet(testServer("b", false))
 		h.update(PreviousLeaderStoppedMsg{At: h.now})
--- a/core/process/keeper/move.go
+++ b/core/process/keeper/move.go
@@ -153,8 +153,8 @@
 	k.storeState.lazySavePending, k.publishState.pending = true, true
 }
 
-// handleGrantResult handles the result of a grant. Unless the grant was certainly not sent
-// or was refused, the server may hold the range until that grant expires.
+// handleGrantResult handles the result of a grant. Unless the result shows that the server did not
+// accept the grant, the server may hold the range until the grant expires.
 func (k *Keeper) handleGrantResult(now time.Time, m GrantResultMsg) {
 	k.recordCallResult(now, m.Cmd.Holder, m.Result, m.Cmd.Renewal)
 	rs := k.findRange(m.Cmd.Service, m.Cmd.From, m.Cmd.To)
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -116,7 +116,7 @@
 		runRequest(b, t0, server, 300*time.Millisecond, ConnectFailed)
 		return b, server
 	}
-	Convey("The next requests are refused at once", t, func() {
+	Convey("Requests right after a failed connection attempt are refused at once", t, func() {
 		b, server := start()
 		now := t0.Add(300 * time.Millisecond)
 		So(b.Evaluate(now, requirements(now), server).Reason, ShouldEqual, ServerUnreachable)
@@ -277,7 +277,7 @@
 		So(c.Reason, ShouldEqual, AllBusy)
 		So(b.TakeStats(false)[0].LongQueueReports, ShouldEqual, 1)
 	})
-	Convey("Another failure, such as a reused connection that broke, does not mean that", t, func() {
+	Convey("Another failure, such as a reused connection that broke, does not mean that the queue is long", t, func() {
 		_, c := evaluate(2*time.Millisecond, Failed)
 		So(c.Refused(), ShouldBeFalse)
 	})
