--- a/io/connection/caller/caller_test.go
+++ b/io/connection/caller/caller_test.go
@@ -44,7 +44,7 @@
 	So(err, ShouldBeNil)
 }
 
-func (c *testClient) readResponse() (*http.Response, string) {
+func (c *testClient) readReply() (*http.Response, string) {
 	_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: http.MethodGet})
 	So(err, ShouldBeNil)
@@ -53,15 +53,15 @@
 	return resp, string(body)
 }
 
-func echo(_ context.Context, r Request) Response {
-	return Response{Status: 200, Header: http.Header{}, Body: []byte(r.URL.Path + string(r.Body))}
+func echo(_ context.Context, r Request) Reply {
+	return Reply{Status: 200, Header: http.Header{}, Body: []byte(r.URL.Path + string(r.Body))}
 }
 
-// Guards against a pipelined request that is not read until the previous one has its response.
+// Guards against a pipelined request that is not read until the previous one has its reply.
 func TestPipelining(t *testing.T) {
-	Convey("Requests run concurrently and get their responses in order", t, func() {
+	Convey("Requests run concurrently and get their replies in order", t, func() {
 		quickHandled := make(chan struct{})
-		_, address := startServer(t, func(_ context.Context, r Request) Response {
+		_, address := startServer(t, func(_ context.Context, r Request) Reply {
 			if r.URL.Path == "/slow" {
 				select {
 				case <-quickHandled:
@@ -77,8 +77,8 @@
 		c.get("/slow")
 		c.get("/quick")
 		startedAt := time.Now()
-		_, first := c.readResponse()
-		_, second := c.readResponse()
+		_, first := c.readReply()
+		_, second := c.readReply()
 		So(first, ShouldEqual, "/slow")
 		So(second, ShouldEqual, "/quick")
 		So(time.Since(startedAt), ShouldBeLessThan, 2*time.Second)
@@ -94,7 +94,7 @@
 		defer c.Close() //nolint:errcheck // a test's client
 		_, err := io.WriteString(c, text)
 		So(err, ShouldBeNil)
-		return c.readResponse()
+		return c.readReply()
 	}
 	Convey("Bodies are read completely, with a length or in chunks", t, func() {
 		_, body := send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz")
@@ -123,10 +123,10 @@
 func TestCallerDisconnects(t *testing.T) {
 	Convey("The request's context is cancelled when the connection is closed", t, func() {
 		cancelled := make(chan struct{})
-		_, address := startServer(t, func(ctx context.Context, _ Request) Response {
+		_, address := startServer(t, func(ctx context.Context, _ Request) Reply {
 			<-ctx.Done()
 			close(cancelled)
-			return Response{Status: 502, Header: http.Header{}}
+			return Reply{Status: 502, Header: http.Header{}}
 		})
 		c := dial(address)
 		c.get("/x")
@@ -157,7 +157,7 @@
 		}
 		shutDown(s)
 		c.get("/1")
-		resp, body := c.readResponse()
+		resp, body := c.readReply()
 		So(body, ShouldEqual, "/1")
 		So(resp.Close, ShouldBeTrue)
 	})
@@ -166,13 +166,13 @@
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, _ = c.readResponse()
+		_, _ = c.readReply()
 		time.Sleep(2 * firstRequestWait)
 		_, _ = io.WriteString(c, "GET /2 HTTP/1.1\r\n")
 		time.Sleep(shutdownPollInterval)
 		shutDown(s)
 		_, _ = io.WriteString(c, "Host: h\r\n\r\n")
-		resp, body := c.readResponse()
+		resp, body := c.readReply()
 		So(body, ShouldEqual, "/2")
 		So(resp.Close, ShouldBeTrue)
 	})
@@ -184,7 +184,7 @@
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, body := c.readResponse()
+		_, body := c.readReply()
 		So(body, ShouldEqual, "/1")
 		select {
 		case <-shutDownDone:
@@ -209,10 +209,10 @@
 
 // Guards against a shutdown that leaves accepted requests unanswered.
 func TestShutdown(t *testing.T) {
-	Convey("Every request that was read gets its response", t, func() {
+	Convey("Every request that was read gets its reply", t, func() {
 		release := make(chan struct{})
 		var started atomic.Int32
-		s, address := startServer(t, func(ctx context.Context, r Request) Response {
+		s, address := startServer(t, func(ctx context.Context, r Request) Reply {
 			started.Add(1)
 			<-release
 			return echo(ctx, r)
@@ -226,8 +226,8 @@
 		}
 		s.BeginShutdown()
 		close(release)
-		first, body1 := c.readResponse()
-		second, body2 := c.readResponse()
+		first, body1 := c.readReply()
+		second, body2 := c.readReply()
 		So(body1+body2, ShouldEqual, "/1/2")
 		So(first.Close, ShouldBeFalse)
 		So(second.Close, ShouldBeTrue)
@@ -240,7 +240,7 @@
 	Convey("No request is accepted while another is pending on the connection", t, func() {
 		release := make(chan struct{})
 		var started atomic.Int32
-		s, address := startServer(t, func(ctx context.Context, r Request) Response {
+		s, address := startServer(t, func(ctx context.Context, r Request) Reply {
 			started.Add(1)
 			<-release
 			return echo(ctx, r)
@@ -255,15 +255,15 @@
 		c.get("/2")
 		time.Sleep(50 * time.Millisecond)
 		close(release)
-		resp, body := c.readResponse()
+		resp, body := c.readReply()
 		So(body, ShouldEqual, "/1")
 		So(resp.Close, ShouldBeTrue)
 		So(started.Load(), ShouldEqual, 1)
 	})
-	Convey("A connection whose response is being sent is not idle", t, func() {
+	Convey("A connection whose reply is being sent is not idle", t, func() {
 		const large = 16 << 20 // more than the socket buffers hold
-		s, address := startServer(t, func(context.Context, Request) Response {
-			return Response{Status: 200, Header: http.Header{}, Body: make([]byte, large)}
+		s, address := startServer(t, func(context.Context, Request) Reply {
+			return Reply{Status: 200, Header: http.Header{}, Body: make([]byte, large)}
 		})
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
@@ -272,7 +272,7 @@
 		So(err, ShouldBeNil)
 		s.BeginShutdown()
 		So(s.closeIdle(time.Now()), ShouldEqual, 1)
-		_, body := c.readResponse()
+		_, body := c.readReply()
 		So(len(body), ShouldEqual, large)
 	})
 	Convey("BeginShutdown does not close idle connections", t, func() {
@@ -280,10 +280,10 @@
 		c := dial(address)
 		defer c.Close() //nolint:errcheck // a test's client
 		c.get("/1")
-		_, _ = c.readResponse()
+		_, _ = c.readReply()
 		s.BeginShutdown()
 		c.get("/2")
-		resp, body := c.readResponse()
+		resp, body := c.readReply()
 		So(body, ShouldEqual, "/2")
 		So(resp.Close, ShouldBeTrue)
 	})
--- a/io/connection/caller/conn.go
+++ b/io/connection/caller/conn.go
@@ -24,8 +24,8 @@
 	queue         chan *pendingRequest
 
 	mu      sync.Mutex
-	pending int // requests whose responses have not begun to be sent
-	// sending is set while a response is written. The connection must not be closed
+	pending int // requests whose replies have not begun to be sent
+	// sending is set while a reply is written. The connection must not be closed
 	// then, although no request is pending any more.
 	sending bool
 	// closing means that no further request is handled.
@@ -39,11 +39,11 @@
 	requestSeen bool
 }
 
-// pendingRequest is a request that waits for its response.
+// pendingRequest is a request that waits for its reply.
 type pendingRequest struct {
-	resp       Response
-	isHead     bool // a HEAD request, whose response has no body
-	closeAfter bool // the connection is closed after the response
+	reply      Reply
+	isHead     bool // a HEAD request, whose reply has no body
+	closeAfter bool // the connection is closed after the reply
 	done       chan struct{}
 }
 
@@ -89,11 +89,11 @@
 
 func (c *conn) handle(p *pendingRequest, r Request) {
 	defer close(p.done)
-	p.resp = c.server.handler(c.ctx, r)
+	p.reply = c.server.handler(c.ctx, r)
 }
 
-// addPending counts a request as pending, and reports whether it gets a response. It is called
-// for requests that were read, and for those that could not be read and get an error response.
+// addPending counts a request as pending, and reports whether it gets a reply. It is called
+// for requests that were read, and for those that could not be read and get an error reply.
 // During a shutdown, no request is accepted while another is pending on the connection: a
 // caller that always pipelines would keep the connection busy until the process ends, and lose
 // its last requests.
@@ -174,7 +174,7 @@
 	errBodyTooLarge   = errors.New("caller: request body too large")
 )
 
-// handleReadError queues an error response to a request that could not be read, or cancels
+// handleReadError queues an error reply to a request that could not be read, or cancels
 // the pending requests if the connection has ended.
 func (c *conn) handleReadError(err error) {
 	status := http.StatusBadRequest
@@ -195,7 +195,7 @@
 	if !c.addPending() {
 		return
 	}
-	p := &pendingRequest{done: make(chan struct{}), closeAfter: true, resp: Response{Status: status, Header: http.Header{}}}
+	p := &pendingRequest{done: make(chan struct{}), closeAfter: true, reply: Reply{Status: status, Header: http.Header{}}}
 	close(p.done)
 	c.queue <- p
 }
@@ -209,7 +209,7 @@
 	c.cancel()
 }
 
-// writeLoop sends the responses in the order of the requests.
+// writeLoop sends the replies in the order of the requests.
 func (c *conn) writeLoop() {
 	defer c.server.removeConn(c)
 	defer c.Close() //nolint:errcheck // nothing more is sent on it
@@ -233,7 +233,7 @@
 	}
 }
 
-// beginSend marks the connection as sending, and reports whether the response is the last
+// beginSend marks the connection as sending, and reports whether the reply is the last
 // on the connection. During a shutdown it is, if no other request is pending.
 func (c *conn) beginSend(p *pendingRequest) bool {
 	c.mu.Lock()
@@ -255,23 +255,23 @@
 }
 
 // lingeringClose closes the sending side of the connection and discards what the caller still
-// sends. Closing the connection with unread data would reset it, and the last response could
+// sends. Closing the connection with unread data would reset it, and the last reply could
 // be lost.
 func (c *conn) lingeringClose() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
 	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	for range c.queue { // after the last response, addPending accepts no request
+	for range c.queue { // after the last reply, addPending accepts no request
 	}
 	_, _ = io.Copy(io.Discard, c.Conn)
 }
 
 // lingerTimeout is how long lingeringClose waits for the caller to close the connection after
-// the last response. It is longer than a response takes to reach any caller.
+// the last reply. It is longer than a reply takes to reach any caller.
 const lingerTimeout = 300 * time.Millisecond
 
-// closeIfIdle closes the connection unless a request or response is on it, or its first request
+// closeIfIdle closes the connection unless a request or reply is on it, or its first request
 // may still arrive. It reports whether it closed the connection.
 func (c *conn) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
--- a/io/connection/caller/send.go
+++ b/io/connection/caller/send.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// sendTimeout bounds how long a response is written to a caller that does not read it.
+// sendTimeout bounds how long a reply is written to a caller that does not read it.
 const sendTimeout = 5 * time.Second
 
-// send writes a response in one piece, with its length.
+// send writes a reply in one piece, with its length.
 func (c *conn) send(p *pendingRequest, closeAfter bool) error {
 	var b strings.Builder
-	b.Grow(256 + len(p.resp.Body))
-	status := p.resp.Status
+	b.Grow(256 + len(p.reply.Body))
+	status := p.reply.Status
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	for name, values := range p.resp.Header {
+	for name, values := range p.reply.Header {
 		if isHopByHop(name) {
 			continue
 		}
@@ -26,17 +26,17 @@
 	}
 	noBody := status == http.StatusNoContent || status == http.StatusNotModified
 	switch {
-	case p.isHead && p.resp.Header.Get("Content-Length") != "":
-		b.WriteString("Content-Length: " + p.resp.Header.Get("Content-Length") + "\r\n")
+	case p.isHead && p.reply.Header.Get("Content-Length") != "":
+		b.WriteString("Content-Length: " + p.reply.Header.Get("Content-Length") + "\r\n")
 	case !noBody:
-		b.WriteString("Content-Length: " + strconv.Itoa(len(p.resp.Body)) + "\r\n")
+		b.WriteString("Content-Length: " + strconv.Itoa(len(p.reply.Body)) + "\r\n")
 	}
 	if closeAfter {
 		b.WriteString("Connection: close\r\n")
 	}
 	b.WriteString("\r\n")
 	if !p.isHead && !noBody {
-		b.Write(p.resp.Body)
+		b.Write(p.reply.Body)
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(sendTimeout))
 	_, err := c.Write([]byte(b.String()))
--- a/io/connection/caller/server.go
+++ b/io/connection/caller/server.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxPipelined is how many requests of one connection may wait for their responses.
+	// maxPipelined is how many requests of one connection may wait for their replies.
 	// Callers pipeline somewhat fewer.
 	maxPipelined = 16
 	// acceptRetryDelay is the delay after a failed accept, for example because there are
 	// no free file descriptors.
 	acceptRetryDelay = 20 * time.Millisecond
-	// tcpUserTimeout closes a connection whose caller does not acknowledge a response.
+	// tcpUserTimeout closes a connection whose caller does not acknowledge a reply.
 	tcpUserTimeout = 5 * time.Second
 	// firstRequestWait is how long the first request of a new connection is awaited during
 	// a shutdown: a few round trips to any caller.
@@ -28,8 +28,9 @@
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// Response is the response to a request.
-type Response struct {
+// Reply is the reply to a caller's request: a backend server's response that is passed on, or a
+// Refusal.
+type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -43,7 +44,7 @@
 	ReadAt time.Time
 }
 
-// Refusal describes a response that the daemon itself makes because it has none from a backend
+// Refusal describes a reply that the daemon itself makes because it has no response from a backend
 // server. A router.Protocol formats it.
 type Refusal struct {
 	ID     string
@@ -56,9 +57,9 @@
 	RetryAfter time.Duration
 }
 
-// Handler returns the response to a request. The context is cancelled when the caller's
+// Handler returns the reply to a request. The context is cancelled when the caller's
 // connection ends.
-type Handler func(ctx context.Context, r Request) Response
+type Handler func(ctx context.Context, r Request) Reply
 
 // Limits are the limits on requests and connections of callers.
 type Limits struct {
@@ -101,7 +102,7 @@
 	return s
 }
 
-// Running returns the number of requests that wait for their responses.
+// Running returns the number of requests that wait for their replies.
 func (s *Server) Running() int64 { return s.running.Load() }
 
 // Accepted returns the number of connections accepted so far.
@@ -124,10 +125,10 @@
 }
 
 // BeginShutdown makes the server announce the close of each connection with the last
-// response on it, and accept no request while another is pending on the connection.
+// reply on it, and accept no request while another is pending on the connection.
 func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
-// Shutdown closes idle connections and waits until the others have got their responses or
+// Shutdown closes idle connections and waits until the others have got their replies or
 // the context ends. It waits at least firstRequestWait, for the first requests of callers
 // that connected just before the listener was closed and may not have been accepted yet.
 func (s *Server) Shutdown(ctx context.Context) {
--- a/io/process/native/daemon_test.go
+++ b/io/process/native/daemon_test.go
@@ -87,20 +87,20 @@
 	return accepted
 }
 
-// response is the response to a caller. Either answer or failure is set.
-type response struct {
+// callerReply is the reply to a caller. Either answer or failure is set.
+type callerReply struct {
 	status  int
 	header  http.Header
 	answer  server.Response
 	failure native.ErrorBody
 }
 
-func (ts *testSite) send(d *native.Daemon, method, path, body string) response {
+func (ts *testSite) send(d *native.Daemon, method, path, body string) callerReply {
 	ts.lastID++
 	return ts.sendWithID(d, method, fmt.Sprintf("id-%d", ts.lastID), path, body)
 }
 
-func (ts *testSite) sendWithID(d *native.Daemon, method, id, path, body string) response {
+func (ts *testSite) sendWithID(d *native.Daemon, method, id, path, body string) callerReply {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+d.Prefs().CallerAddress+path, strings.NewReader(body))
 	if err != nil {
 		ts.t.Fatal(err)
@@ -108,14 +108,14 @@
 	req.Header.Set("Idempotency-Key", id)
 	resp, err := ts.client.Do(req)
 	if err != nil {
-		return response{}
+		return callerReply{}
 	}
 	defer resp.Body.Close() //nolint:errcheck // the body has been read
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return response{}
+		return callerReply{}
 	}
-	out := response{status: resp.StatusCode, header: resp.Header}
+	out := callerReply{status: resp.StatusCode, header: resp.Header}
 	if out.header.Get(native.HeaderOutcome) == native.OutcomeAnswered {
 		err = json.Unmarshal(data, &out.answer)
 	} else {
--- a/io/process/native/protocol.go
+++ b/io/process/native/protocol.go
@@ -51,7 +51,7 @@
 	Origin grant.Origin `json:"origin,omitempty"`
 }
 
-// ErrorBody is the JSON body of every response that comes from the daemon itself and not from
+// ErrorBody is the JSON body of every reply that comes from the daemon itself and not from
 // a backend server.
 type ErrorBody struct {
 	// Code identifies the error. Codes are stable; docs/ERRORS.md lists them.
@@ -114,7 +114,7 @@
 	return rand.Text()
 }
 
-// CallerTimeout returns how long the caller waits for the response, if the request says so.
+// CallerTimeout returns how long the caller waits for the reply, if the request says so.
 func (Protocol) CallerTimeout(h http.Header) (time.Duration, bool) {
 	d, err := time.ParseDuration(h.Get(HeaderTimeout))
 	return d, err == nil && d > 0
@@ -142,15 +142,15 @@
 	return segments[n-1]
 }
 
-// AddResponseHeaders adds the daemon's headers to the response of a backend server.
-func (Protocol) AddResponseHeaders(h http.Header, id, server string) {
+// AddReplyHeaders adds the daemon's headers to a reply that passes on a backend server's response.
+func (Protocol) AddReplyHeaders(h http.Header, id, server string) {
 	h.Set(names.Default().ID, id)
 	h.Set(HeaderOutcome, OutcomeAnswered)
 	h.Set(HeaderServer, server)
 }
 
-// RefusalResponse builds the response to a request that no backend server answered.
-func (Protocol) RefusalResponse(refusal caller.Refusal) (http.Header, []byte) {
+// RefusalReply builds the reply to a request that no backend server answered.
+func (Protocol) RefusalReply(refusal caller.Refusal) (http.Header, []byte) {
 	errBody := ErrorBody{Code: refusal.Reason, Outcome: OutcomeNotRun, RequestID: refusal.ID}
 	if refusal.MaybeRan {
 		errBody.Outcome = OutcomeUnknown
--- a/io/process/native/retry_test.go
+++ b/io/process/native/retry_test.go
@@ -21,12 +21,12 @@
 	bookingID = "booking-7"
 )
 
-func (ts *testSite) sendBooking(d *native.Daemon) response {
+func (ts *testSite) sendBooking(d *native.Daemon) callerReply {
 	return ts.sendWithID(d, http.MethodPost, bookingID, benchPath, "{}")
 }
 
-// postStatus sends a booking and returns the status of the response only, for error responses
-// of servers, whose bodies are neither a server.Response nor a native.ErrorBody.
+// postStatus sends a booking and returns only the status of the reply, for error responses of
+// servers that are passed on: their bodies are neither a server.Response nor a native.ErrorBody.
 func (ts *testSite) postStatus(d *native.Daemon, id, path string) int {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+d.Prefs().CallerAddress+path, nil)
 	So(err, ShouldBeNil)
@@ -47,7 +47,7 @@
 	return holder
 }
 
-// Guards against a caller that gets the response to another caller's booking, because both use
+// Guards against a caller that gets the reply to another caller's booking, because both use
 // the same ID.
 func TestSameIDForDifferentBookings(t *testing.T) {
 	Convey("The same ID with a different key is a different booking; with the same key but another path it is rejected", t, func() {
@@ -102,7 +102,7 @@
 		for _, v := range ts.servers {
 			v.SetFaults(server.Faults{TruncatedShare: 1})
 		}
-		requestLabel := func(d *native.Daemon, id string) response {
+		requestLabel := func(d *native.Daemon, id string) callerReply {
 			return ts.sendWithID(d, http.MethodPost, id, "/labels/print", "{}")
 		}
 		So(requestLabel(ts.daemons[0], bookingID).failure.Outcome, ShouldEqual, native.OutcomeUnknown)
--- a/io/process/native/site.go
+++ b/io/process/native/site.go
@@ -71,8 +71,8 @@
 	nonIdempotentPriority = 1
 	idempotentPriority    = 2
 	// latencyTargetFactor is the latency target of a route, as a multiple of the latency
-	// threshold of its service. It is above 1 because a late response still helps the
-	// caller, unlike on a platform that specifies what late responses cost.
+	// threshold of its service. It is above 1 because a late reply still helps the
+	// caller, unlike on a platform that specifies what late replies cost.
 	latencyTargetFactor = 4
 )
 
--- a/io/process/router/attempt.go
+++ b/io/process/router/attempt.go
@@ -16,7 +16,7 @@
 
 // sendWithRetries makes attempts until one yields the reply or no further attempt is
 // allowed.
-func (r *Router) sendWithRetries(ctx context.Context, req *request) caller.Response {
+func (r *Router) sendWithRetries(ctx context.Context, req *request) caller.Reply {
 	for {
 		if ctx.Err() != nil {
 			return *r.finalReply(req.id, http.StatusBadGateway, reasonCallerDisconnected)
@@ -172,7 +172,7 @@
 // evaluateAttempt handles the end of an attempt. It returns either the reply to the caller,
 // or true if the request is to be sent again. It also sets the request's maybeRan and
 // fallbackResponse, on which the decisions after further attempts depend.
-func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, resp *link.Response, err error) (caller.Response, bool) {
+func (r *Router) evaluateAttempt(ctx context.Context, req *request, server fleet.Server, choice spread.Choice, resp *link.Response, err error) (caller.Reply, bool) {
 	notRun := err != nil && link.NotRun(err) || err == nil && resp.Declined
 	if link.KindOf(err) == link.ConnectionLost {
 		r.recordLoss(req, server.ID)
@@ -199,7 +199,7 @@
 	}
 	if r.mayRetry(ctx, req, notRun) && (!r.retryState(req, notRun).UsesBudget() || r.tryWithdrawRetry(req)) {
 		r.logFailedAttempt(req, server, choice, resp, err, "sent again")
-		return caller.Response{}, true
+		return caller.Reply{}, true
 	}
 	r.logFailedAttempt(req, server, choice, resp, err, "given up")
 	return r.giveUp(req, choice, reasonAttemptFailed, choice.RetryAfter), false
--- a/io/process/router/control_test.go
+++ b/io/process/router/control_test.go
@@ -29,11 +29,11 @@
 func (stubProtocol) Release(grant.Call) link.Request              { return link.Request{} }
 func (stubProtocol) Result(*link.Response) (grant.Result, string) { return grant.OutcomeUnknown, "" }
 
-func (stubProtocol) ID(http.Header) string                                { return "" }
-func (stubProtocol) CallerTimeout(http.Header) (time.Duration, bool)      { return 0, false }
-func (stubProtocol) Key(config.Service, string, http.Header) (int, bool)  { return 0, false }
-func (stubProtocol) AddResponseHeaders(http.Header, string, string)       {}
-func (stubProtocol) RefusalResponse(caller.Refusal) (http.Header, []byte) { return http.Header{}, nil }
+func (stubProtocol) ID(http.Header) string                               { return "" }
+func (stubProtocol) CallerTimeout(http.Header) (time.Duration, bool)     { return 0, false }
+func (stubProtocol) Key(config.Service, string, http.Header) (int, bool) { return 0, false }
+func (stubProtocol) AddReplyHeaders(http.Header, string, string)         {}
+func (stubProtocol) RefusalReply(caller.Refusal) (http.Header, []byte)   { return http.Header{}, nil }
 
 var t0 = time.Unix(5000, 0)
 
--- a/io/process/router/options.go
+++ b/io/process/router/options.go
@@ -142,12 +142,12 @@
 	// Key returns the number of the key that a request for a service refers to, if any. The
 	// path is the one that is sent to the server.
 	Key(s config.Service, path string, h http.Header) (int, bool)
-	// AddResponseHeaders adds headers for the caller to the response of a server, given the
-	// IDs of the request and of the server.
-	AddResponseHeaders(h http.Header, id, server string)
-	// RefusalResponse returns the header and body of a reply that the daemon itself makes
+	// AddReplyHeaders adds headers for the caller to a reply that passes on the response of a
+	// server, given the IDs of the request and of the server.
+	AddReplyHeaders(h http.Header, id, server string)
+	// RefusalReply returns the header and body of a reply that the daemon itself makes
 	// because it has no response of a server for the caller.
-	RefusalResponse(f caller.Refusal) (http.Header, []byte)
+	RefusalReply(f caller.Refusal) (http.Header, []byte)
 }
 
 // Option configures a Router.
--- a/io/process/router/refuse.go
+++ b/io/process/router/refuse.go
@@ -11,7 +11,7 @@
 // giveUp ends a request without another attempt. Status 503 means that the request did not
 // run, and comes with a time after which to retry. With 502 and 504 the request may have
 // run.
-func (r *Router) giveUp(req *request, choice spread.Choice, reason string, retryAfter time.Duration) caller.Response {
+func (r *Router) giveUp(req *request, choice spread.Choice, reason string, retryAfter time.Duration) caller.Reply {
 	if req.fallbackResponse != nil {
 		return r.callerReply(req, req.fallbackResponse)
 	}
@@ -37,7 +37,7 @@
 // refuseRequest refuses a resolved request. If the caller sent the same ID before, that
 // attempt may have run although this one did not. The refusal says so, since otherwise the
 // caller would submit the request again under a new ID and it could run twice.
-func (r *Router) refuseRequest(req *request, reason string, retryAfter time.Duration, attrs ...any) caller.Response {
+func (r *Router) refuseRequest(req *request, reason string, retryAfter time.Duration, attrs ...any) caller.Reply {
 	refusal := caller.Refusal{ID: req.id, Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter, MaybeRan: r.wasSentBefore(req)}
 	if refusal.MaybeRan {
 		attrs = append(attrs, "earlierTry", "mayHaveRun")
@@ -46,7 +46,7 @@
 }
 
 // refuse replies that this attempt did not run, and after which time to retry.
-func (r *Router) refuse(refusal caller.Refusal, route string, attrs ...any) caller.Response {
+func (r *Router) refuse(refusal caller.Refusal, route string, attrs ...any) caller.Reply {
 	refusal.RetryAfter = max(refusal.RetryAfter, minRetryAfter)
 	r.metrics.increment("refused." + refusal.Reason)
 	r.log.Info("request: refused, not run", append([]any{"id", refusal.ID, "route", route, "reason", refusal.Reason, "retryAfter", refusal.RetryAfter.String()}, attrs...)...)
@@ -58,12 +58,12 @@
 
 // finalReply returns a reply without a time after which to retry. A status of 500 or above
 // means that the request may have run.
-func (r *Router) finalReply(id string, status int, reason string) *caller.Response {
+func (r *Router) finalReply(id string, status int, reason string) *caller.Reply {
 	reply := r.refusalReply(caller.Refusal{ID: id, Status: status, Reason: reason, MaybeRan: status >= http.StatusInternalServerError})
 	return &reply
 }
 
-func (r *Router) refusalReply(refusal caller.Refusal) caller.Response {
-	header, body := r.protocol.RefusalResponse(refusal)
-	return caller.Response{Status: refusal.Status, Header: header, Body: body}
+func (r *Router) refusalReply(refusal caller.Refusal) caller.Reply {
+	header, body := r.protocol.RefusalReply(refusal)
+	return caller.Reply{Status: refusal.Status, Header: header, Body: body}
 }
--- a/io/process/router/sent.go
+++ b/io/process/router/sent.go
@@ -64,7 +64,7 @@
 }
 
 // recordSentOutcome records how an attempt of a deduplicated request ended. If the request may
-// have run without its caller getting the response, the other daemons are informed: the caller
+// have run without its caller getting the reply, the other daemons are informed: the caller
 // may send it again through any of them, possibly after the holder was lost.
 func (r *Router) recordSentOutcome(ctx context.Context, record sentRecord, repeated bool, resp *link.Response, err error) {
 	notRun := err != nil && link.NotRun(err) || err == nil && resp.Declined
@@ -123,7 +123,7 @@
 
 // replyOutcomeLost replies to a request that may have run at an earlier holder, which was lost.
 // The new holder does not run it under this ID.
-func (r *Router) replyOutcomeLost(req *request, server string) caller.Response {
+func (r *Router) replyOutcomeLost(req *request, server string) caller.Reply {
 	r.metrics.increment("sent.lost")
 	r.log.Info("request: given up, may have run", "id", req.id, "route", req.route.Name, "reason", reasonOutcomeLost, "service", req.service.Name, "key", req.key,
 		"server", server, "firstSentMillis", req.Header.Get(r.protocol.Names().FirstSent))
--- a/io/process/router/sent_test.go
+++ b/io/process/router/sent_test.go
@@ -88,7 +88,7 @@
 	last *caller.Refusal
 }
 
-func (r refusalRecorder) RefusalResponse(refusal caller.Refusal) (http.Header, []byte) {
+func (r refusalRecorder) RefusalReply(refusal caller.Refusal) (http.Header, []byte) {
 	*r.last = refusal
 	return http.Header{}, nil
 }
--- a/io/process/router/serve.go
+++ b/io/process/router/serve.go
@@ -58,14 +58,14 @@
 }
 
 // serve handles one request, and records the status of the reply and the latency.
-func (r *Router) serve(ctx context.Context, callerReq caller.Request) caller.Response {
+func (r *Router) serve(ctx context.Context, callerReq caller.Request) caller.Reply {
 	reply := r.handle(ctx, callerReq)
 	r.metrics.observeRequest(reply.Status, time.Since(callerReq.ReadAt))
 	return reply
 }
 
 // recordServiceLevel counts the outcome of a request for its service level objective.
-func (r *Router) recordServiceLevel(req *request, reply caller.Response) {
+func (r *Router) recordServiceLevel(req *request, reply caller.Reply) {
 	outcome := burn.Good
 	switch elapsed := time.Since(req.ReadAt); {
 	case reply.Status == http.StatusServiceUnavailable:
@@ -80,7 +80,7 @@
 	r.burnMeter.Count(r.now(), req.service.Name, outcome)
 }
 
-func (r *Router) handle(ctx context.Context, callerReq caller.Request) caller.Response {
+func (r *Router) handle(ctx context.Context, callerReq caller.Request) caller.Reply {
 	r.awaitBoot(ctx, callerReq)
 	snap := r.current.Load()
 	id := r.protocol.ID(callerReq.Header)
@@ -98,7 +98,7 @@
 }
 
 // dispatch serves a resolved request, unless its content is suspected of crashing servers.
-func (r *Router) dispatch(ctx context.Context, req *request) caller.Response {
+func (r *Router) dispatch(ctx context.Context, req *request) caller.Reply {
 	if r.checkCrashSuspect(req) {
 		return r.refuseRequest(req, reasonCrashSuspect, crashRetention/4)
 	}
@@ -108,7 +108,7 @@
 
 // resolve determines the route, service, key and deadline of a request. If the request
 // has no route or lacks its key, it returns the reply instead.
-func (r *Router) resolve(snap *snapshot, callerReq caller.Request, id string) (*request, *caller.Response) {
+func (r *Router) resolve(snap *snapshot, callerReq caller.Request, id string) (*request, *caller.Reply) {
 	route, ok := snap.config.Match(callerReq.Host, callerReq.URL.EscapedPath(), callerReq.Method)
 	if !ok {
 		r.log.Info("request: no route", "id", id, "host", callerReq.Host, "path", callerReq.URL.Path, "version", snap.config.Version)
@@ -135,11 +135,11 @@
 func (req *request) attempts() int { return req.sentAttempts + req.unsentAttempts }
 
 // callerReply converts a server's response into the reply to the caller.
-func (r *Router) callerReply(req *request, resp *link.Response) caller.Response {
+func (r *Router) callerReply(req *request, resp *link.Response) caller.Reply {
 	header := resp.Header
 	header.Del(r.protocol.Names().Load)
-	r.protocol.AddResponseHeaders(header, req.id, resp.Server)
-	return caller.Response{Status: resp.Status, Header: header, Body: resp.Body}
+	r.protocol.AddReplyHeaders(header, req.id, resp.Server)
+	return caller.Reply{Status: resp.Status, Header: header, Body: resp.Body}
 }
 
 // forwardedHeader prepares the request's header for the server: it sets the request ID and
