--- a/io/process/router/clustercounts.go
+++ b/io/process/router/clustercounts.go
@@ -29,7 +29,7 @@
 
 // serverStatsFrom converts another daemon's message.
 func serverStatsFrom(p *wire.Pace) serverStats {
-	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Answers: int(p.Answers)}, loadReports: int(p.Heard), longQueueReports: int(p.Full)}
+	return serverStats{Sample: speed.Sample{Slowdown: float64(p.Factor), Responses: int(p.Answers)}, loadReports: int(p.Heard), longQueueReports: int(p.Full)}
 }
 
 // with returns the sum of both.
@@ -39,7 +39,7 @@
 
 // toWire returns the message for other daemons.
 func (s serverStats) toWire(server string) *wire.Pace {
-	return &wire.Pace{Server: server, Factor: float32(s.Slowdown), Answers: uint32(s.Answers), Heard: uint32(s.loadReports), Full: uint32(s.longQueueReports)}
+	return &wire.Pace{Server: server, Factor: float32(s.Slowdown), Answers: uint32(s.Responses), Heard: uint32(s.loadReports), Full: uint32(s.longQueueReports)}
 }
 
 func newClusterCounts() *clusterCounts {
--- a/io/process/router/counts.go
+++ b/io/process/router/counts.go
@@ -89,7 +89,7 @@
 	}
 	for _, p := range r.balancer.TakeStats(newLeader) {
 		if server, ok := r.current.Load().fleet.Find(p.Server); ok && keyed[server.Service] {
-			stats := serverStats{Sample: speed.Sample{Slowdown: p.Slowdown, Answers: p.Responses}, loadReports: p.LoadReports, longQueueReports: p.LongQueueReports}
+			stats := serverStats{Sample: speed.Sample{Slowdown: p.Slowdown, Responses: p.Responses}, loadReports: p.LoadReports, longQueueReports: p.LongQueueReports}
 			statsByServer[p.Server] = statsByServer[p.Server].with(stats)
 		}
 	}
