--- a/core/request/crash/crash.go
+++ b/core/request/crash/crash.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Suspects holds the requests that were running when servers were lost.
+// Suspects holds the requests that may have been running on servers that were lost.
 type Suspects struct {
 	threshold int
 	retention time.Duration
@@ -18,14 +18,15 @@
 }
 
 // New returns Suspects without any requests. A request should be refused once at least threshold
-// different servers were lost while it ran. It is forgotten after the retention time without
-// another loss.
+// different servers were lost while it may have been running there. It is forgotten after the
+// retention time without another loss.
 func New(threshold int, retention time.Duration) *Suspects {
 	return &Suspects{threshold: threshold, retention: retention, requests: map[uint64]suspect{}}
 }
 
-// RecordLoss records servers that were lost while a request ran. It reports whether any of them
-// was not yet recorded for the request; if so, the other daemons need to know of the loss.
+// RecordLoss records servers that were lost while a request may have been running there. It reports
+// whether any of them was not yet recorded for the request; if so, the other daemons need to know of
+// the loss.
 func (s *Suspects) RecordLoss(now time.Time, fingerprint uint64, servers ...string) (changed bool) {
 	for f, entry := range s.requests {
 		if now.Sub(entry.lastLossAt) > s.retention {
@@ -63,7 +64,7 @@
 	return ok && len(entry.servers) >= s.threshold && now.Sub(entry.lastLossAt) <= s.retention
 }
 
-// LostServers returns the servers that were lost while a request ran.
+// LostServers returns the servers that were lost while a request may have been running there.
 func (s *Suspects) LostServers(fingerprint uint64) []string {
 	return slices.Clone(s.requests[fingerprint].servers)
 }
--- a/core/request/crash/crash_test.go
+++ b/core/request/crash/crash_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards against a frequent request that is refused because servers were lost for other reasons
-// while it ran.
+// while it may have been running there.
 func TestFrequentRequestIsNotSuspected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	Convey("A response clears the request", t, func() {
--- a/core/request/crash/doc.go
+++ b/core/request/crash/doc.go
@@ -1,6 +1,6 @@
 // Package crash detects requests that crash the backend servers that run them. It counts the
-// servers that were lost while a request ran. After a few lost servers the request is refused, even
-// if its caller keeps sending it.
+// servers that were lost while a request may have been running there. After a few lost servers the
+// request is refused, even if its caller keeps sending it.
 //
 // # Usage
 //
--- a/core/request/retry/retry.go
+++ b/core/request/retry/retry.go
@@ -19,7 +19,8 @@
 	SentAttempts, MaxAttempts int
 	// UnsentAttempts is the number of attempts that certainly reached no server.
 	UnsentAttempts int
-	// CrashSuspect means that too many servers were lost while they ran the same request.
+	// CrashSuspect means that too many servers were lost while the same request may have been
+	// running there.
 	CrashSuspect bool
 	// TimeLeft is the time until the caller's deadline, and MinLatency is the shortest time in
 	// which a server can respond.
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -24,7 +24,7 @@
 		{"a route without a number of attempts allows one", func(s *State) { s.Idempotent, s.MaxAttempts = true, 0 }, false},
 		{"two connections were refused and one attempt was sent", func(s *State) { s.Idempotent, s.UnsentAttempts = true, 2 }, true},
 		{"the limit of attempts that reach no server", func(s *State) { s.Idempotent, s.SentAttempts, s.UnsentAttempts = true, 0, maxUnsentAttempts }, false},
-		{"too many servers were lost while they ran the request", func(s *State) { s.Idempotent, s.CrashSuspect = true, true }, false},
+		{"too many servers were lost while the request may have been running there", func(s *State) { s.Idempotent, s.CrashSuspect = true, true }, false},
 		{"no response can come in time", func(s *State) { s.Idempotent, s.TimeLeft = true, 100*time.Millisecond }, false},
 	} {
 		Convey(tc.name, t, func() {
--- a/core/request/spread/options.go
+++ b/core/request/spread/options.go
@@ -43,7 +43,7 @@
 	maxRank  = 3
 	// earlyResetShare is the share of the typical service time within which a connection
 	// reset means that the server accepts no more requests. A later reset means that the
-	// server was lost while it ran the request.
+	// server was lost while the request may have been running there.
 	earlyResetShare = 0.1
 	// initialResponseKB is the assumed response size of a route before its first response.
 	initialResponseKB = 1.0
--- a/core/request/spread/requirements.go
+++ b/core/request/spread/requirements.go
@@ -24,9 +24,9 @@
 	LocalDataCentre string
 	// Excluded lists the IDs of servers that must not be chosen.
 	Excluded []string
-	// LastResort lists the IDs of servers whose connection broke while they ran the same
-	// request. They are chosen only if no other server can be: a request that crashed a
-	// server is likely to crash it again.
+	// LastResort lists the IDs of servers whose connection broke while the same request
+	// may have been running there. They are chosen only if no other server can be: a request
+	// that crashed a server is likely to crash it again.
 	LastResort []string
 }
 
--- a/core/request/spread/spread_test.go
+++ b/core/request/spread/spread_test.go
@@ -290,7 +290,7 @@
 
 // Guards against a request that crashes a server again whenever its caller retries.
 func TestCrashingRequestAvoidsLostServers(t *testing.T) {
-	Convey("Servers that were lost while they ran the request are chosen last", t, func() {
+	Convey("Servers that were lost while the request may have been running there are chosen last", t, func() {
 		b, list := newBalancer(), servers(6)
 		var lost []string
 		for range list {
