--- a/core/process/member/member.go
+++ b/core/process/member/member.go
@@ -23,10 +23,10 @@
 	// delay news if the store refuses only the leader: all daemons must know of a draining
 	// server two seconds after its announcement.
 	staleAfter = 1600 * time.Millisecond
-	// takeoverStrengthRatio is how many times as strong as the leader's host a host must be
-	// for its daemon to take over. Each change of leader briefly delays moves of key
+	// takeoverCapacityRatio is how many times the CPU capacity of the leader's host a host must
+	// have for its daemon to take over. Each change of leader briefly delays moves of key
 	// ranges, so a small advantage is not enough.
-	takeoverStrengthRatio = 2.0
+	takeoverCapacityRatio = 2.0
 	// storeOutageTimeout is how long a leader may get no response from the store, while
 	// other daemons do, before it steps down.
 	storeOutageTimeout = 1200 * time.Millisecond
@@ -44,8 +44,8 @@
 	Address     string `json:"address"`
 	DataCentre  string `json:"dataCentre"`
 	Incarnation uint64 `json:"incarnation"`
-	// Strength is the processing capacity of the host, in cores of typical speed; 0 if unknown.
-	Strength float64 `json:"strength,omitempty"`
+	// CPUCapacity is the processing capacity of the host, in cores of usual speed; 0 if unknown.
+	CPUCapacity float64 `json:"strength,omitempty"`
 }
 
 // Status is what a daemon reports about itself in gossip.
@@ -291,7 +291,7 @@
 // whatever its host. When many servers change, updates queue up for a weak host's processor
 // and network link, and the daemons of its data centre keep sending to draining servers.
 func (c *Cluster) shouldReplaceWeaker(now time.Time, leader *peer) bool {
-	return leader != nil && leader.Strength > 0 && c.self.Strength >= takeoverStrengthRatio*leader.Strength && c.leaderAlive(now, leader) && c.IsRelay(now)
+	return leader != nil && leader.CPUCapacity > 0 && c.self.CPUCapacity >= takeoverCapacityRatio*leader.CPUCapacity && c.leaderAlive(now, leader) && c.IsRelay(now)
 }
 
 // HasSteppedDown reports whether a previous leader is known to have ended, or to know the given
--- a/core/process/member/member_test.go
+++ b/core/process/member/member_test.go
@@ -139,15 +139,15 @@
 
 // Guards against a leader on a weak host, whose reads of the store stall while servers drain.
 func TestStrongHostTakesLead(t *testing.T) {
-	memberOfStrength := func(name, dataCentre string, strength float64) Member {
+	memberWithCapacity := func(name, dataCentre string, capacity float64) Member {
 		m := newMember(name, dataCentre, 1)
-		m.Strength = strength
+		m.CPUCapacity = capacity
 		return m
 	}
 	clusterWithWeakLeader := func(self Member, lastStoreResponse time.Time) *Cluster {
 		c := New(self, t0)
 		c.RecordStoreResponse(lastStoreResponse)
-		c.RecordGossip(at(10), memberOfStrength("weak", "y", 0.2), Status{LastStoreResponse: at(10)})
+		c.RecordGossip(at(10), memberWithCapacity("weak", "y", 0.2), Status{LastStoreResponse: at(10)})
 		return c
 	}
 	l := grant.Leader{Daemon: "weak", Incarnation: 1}
@@ -157,9 +157,9 @@
 		return try
 	}
 	Convey("A daemon on a much stronger host takes over if the store responds to it", t, func() {
-		c := clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(9.9))
+		c := clusterWithWeakLeader(memberWithCapacity("b", "x", 0.8), at(9.9))
 		So(triesToLead(c, at(10.1)), ShouldBeTrue)
-		So(triesToLead(clusterWithWeakLeader(memberOfStrength("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
+		So(triesToLead(clusterWithWeakLeader(memberWithCapacity("b", "x", 0.8), at(8)), at(10.1)), ShouldBeFalse)
 		Convey("and reads the store to find that out", func() {
 			So(c.ShouldRead(at(10.1), at(10), false), ShouldBeTrue)
 		})
@@ -167,19 +167,19 @@
 			So(c.ShouldRead(at(10).Add(silenceTimeout), at(10).Add(silenceTimeout), false), ShouldBeFalse)
 		})
 	})
-	Convey("A daemon on a host that is only a little stronger, or of unknown strength, does not take over", t, func() {
-		for _, strength := range []float64{0, 0.2, 0.3} {
-			c := clusterWithWeakLeader(memberOfStrength("b", "x", strength), at(9.9))
+	Convey("A daemon on a host that is only a little stronger, or of unknown capacity, does not take over", t, func() {
+		for _, capacity := range []float64{0, 0.2, 0.3} {
+			c := clusterWithWeakLeader(memberWithCapacity("b", "x", capacity), at(9.9))
 			So(triesToLead(c, at(10.1)), ShouldBeFalse)
 			So(c.ShouldRead(at(10.1), at(10), false), ShouldBeFalse)
 		}
 	})
 	Convey("Of several daemons on much stronger hosts, only the relays take over, in the order of their rank", t, func() {
-		c := clusterWithWeakLeader(memberOfStrength("c", "x", 0.8), at(9.9))
-		c.RecordGossip(at(10), memberOfStrength("a", "x", 0.8), Status{LastStoreResponse: at(10)})
+		c := clusterWithWeakLeader(memberWithCapacity("c", "x", 0.8), at(9.9))
+		c.RecordGossip(at(10), memberWithCapacity("a", "x", 0.8), Status{LastStoreResponse: at(10)})
 		So(triesToLead(c, at(10.1)), ShouldBeFalse)
 		So(triesToLead(c, at(10.1).Add(rankDelay)), ShouldBeTrue)
-		c.RecordGossip(at(10.1), memberOfStrength("b", "x", 0.8), Status{LastStoreResponse: at(10)})
+		c.RecordGossip(at(10.1), memberWithCapacity("b", "x", 0.8), Status{LastStoreResponse: at(10)})
 		So(c.ShouldRead(at(10.2), at(10.2), false), ShouldBeFalse)
 	})
 }
--- a/core/process/member/relay.go
+++ b/core/process/member/relay.go
@@ -139,7 +139,7 @@
 // comparePriority orders daemons by which should relay, read and lead first: those on stronger
 // hosts, then by name.
 func comparePriority(a, b Member) int {
-	return cmp.Or(cmp.Compare(b.Strength, a.Strength), cmp.Compare(a.Name, b.Name))
+	return cmp.Or(cmp.Compare(b.CPUCapacity, a.CPUCapacity), cmp.Compare(a.Name, b.Name))
 }
 
 // isUnreachable reports whether a daemon is leaving or is known not to answer calls. A daemon
--- a/core/process/member/relay_test.go
+++ b/core/process/member/relay_test.go
@@ -16,7 +16,7 @@
 	for i := range 20 {
 		m := newMember(fmt.Sprintf("d%02d", i), "x", 1)
 		if i == 7 || i == 11 {
-			m.Strength = 0.8
+			m.CPUCapacity = 0.8
 		}
 		c.AddDiscovered(m)
 	}
--- a/io/process/router/gossip.go
+++ b/io/process/router/gossip.go
@@ -97,7 +97,7 @@
 func (c *control) newGossip(now time.Time) *wire.Gossip {
 	t := c.r.current.Load().table
 	g := &wire.Gossip{
-		Name: c.r.self.Name, Address: c.r.self.Address, DataCentre: c.r.self.DataCentre, Incarnation: c.r.self.Incarnation, Strength: c.r.self.Strength,
+		Name: c.r.self.Name, Address: c.r.self.Address, DataCentre: c.r.self.DataCentre, Incarnation: c.r.self.Incarnation, Strength: c.r.self.CPUCapacity,
 		Leaving: c.stopping || c.keeper != nil && c.members.ShouldStepDown(now), StoredAgeMillis: ageMillis(now, c.members.LastStoreResponse()), StoreFailedAgeMillis: ageMillis(now, c.members.LastStoreFailure()), Epoch: t.Epoch, Seq: t.Seq,
 		Leader: t.Leader.Daemon, LeaderIncarnation: t.Leader.Incarnation, LeaderAgeMillis: c.leaderAge(now, t.Leader),
 	}
@@ -172,7 +172,7 @@
 		m.reply <- reply
 	}
 	before := c.members.Count()
-	c.members.RecordGossip(now, member.Member{Name: g.Name, Address: g.Address, DataCentre: g.DataCentre, Incarnation: g.Incarnation, Strength: g.Strength},
+	c.members.RecordGossip(now, member.Member{Name: g.Name, Address: g.Address, DataCentre: g.DataCentre, Incarnation: g.Incarnation, CPUCapacity: g.Strength},
 		member.Status{Leaving: g.Leaving, LastStoreResponse: timeFromAge(now, g.StoredAgeMillis), LastStoreFailure: timeFromAge(now, g.StoreFailedAgeMillis), Epoch: g.Epoch})
 	if g.Leader != g.Name && g.LeaderAgeMillis >= 0 {
 		c.members.RecordIndirectContact(g.Leader, g.LeaderIncarnation, timeFromAge(now, g.LeaderAgeMillis))
--- a/io/process/router/router.go
+++ b/io/process/router/router.go
@@ -115,7 +115,7 @@
 		grantTTL: keeper.DefaultGrantTTL, now: clock.Now, metrics: newMetrics(), latestSettings: s, daemonCount: 1,
 		inbox: make(chan any, inboxSize), listening: make(chan struct{}),
 		budgets: map[string]*retry.Budget{}, suspects: crash.New(crashThreshold, crashRetention), sentHistory: sent.New(sentRetention), bucketLoads: map[bucketKey]bucketLoad{},
-		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, Strength: s.Strength, Incarnation: uint64(time.Now().UnixMicro())},
+		self: member.Member{Name: s.Name, Address: s.MeshAddress, DataCentre: s.DataCentre, CPUCapacity: s.CPUCapacity, Incarnation: uint64(time.Now().UnixMicro())},
 	}
 	for _, o := range opts {
 		o(r)
--- a/io/process/setup/setup.go
+++ b/io/process/setup/setup.go
@@ -39,8 +39,8 @@
 	// restarts on its host.
 	Name       string
 	DataCentre string
-	// Strength is the processing capacity of the host, in cores of usual speed; 0 if unknown.
-	Strength float64
+	// CPUCapacity is the processing capacity of the host, in cores of usual speed; 0 if unknown.
+	CPUCapacity float64
 	// CallerAddress, ReadyAddress, MeshAddress and MetricsAddress are the addresses to listen
 	// at. ReadyAddress and MetricsAddress may be empty if readiness and metrics are served
 	// elsewhere.
