--- a/core/version/site/site.go
+++ b/core/version/site/site.go
@@ -19,9 +19,9 @@
 	Presets []Preset `yaml:"presets"`
 	// Exclusions are the data centres and hosts that commands took out of service.
 	Exclusions []Exclusion `yaml:"outs,omitempty"`
-	// Change describes the change that made this version. An operator whose own change conflicts
-	// with it is shown this text.
-	Change string `yaml:"change,omitempty"`
+	// ChangeDescription describes the change that made this version. An operator whose own change
+	// conflicts with it is shown this text.
+	ChangeDescription string `yaml:"change,omitempty"`
 	// WriteID is unique to each write. A writer that got no response from the store compares it
 	// with the stored one to find out whether its change was made.
 	WriteID string `yaml:"writer,omitempty"`
--- a/core/version/site/with.go
+++ b/core/version/site/with.go
@@ -18,7 +18,7 @@
 		return s, &Error{Op: "preset use", Kind: Unknown, Err: fmt.Errorf("no preset %q", name)}
 	}
 	s.Presets = presets
-	s.Change = "preset use " + name
+	s.ChangeDescription = "preset use " + name
 	return s, nil
 }
 
@@ -30,7 +30,7 @@
 	}
 	s = s.removeExclusion(e)
 	s.Exclusions = append(s.Exclusions, e)
-	s.Change = "out " + e.DataCentre + e.Host
+	s.ChangeDescription = "out " + e.DataCentre + e.Host
 	return s, nil
 }
 
@@ -40,7 +40,7 @@
 		return s, err
 	}
 	s = s.removeExclusion(e)
-	s.Change = "in " + e.DataCentre + e.Host
+	s.ChangeDescription = "in " + e.DataCentre + e.Host
 	return s, nil
 }
 
@@ -55,7 +55,7 @@
 // adds a server while the preset "peak" is active must not deactivate it that way.
 // Exclusions of data centres that the file no longer has are dropped.
 func (s Site) WithFile(file Site) (Site, error) {
-	file.Change = "apply " + file.Name
+	file.ChangeDescription = "apply " + file.Name
 	if len(s.Presets) == 0 {
 		return file, nil
 	}
@@ -71,7 +71,7 @@
 			next.Exclusions = append(next.Exclusions, e)
 		}
 	}
-	next.Change = file.Change
+	next.ChangeDescription = file.ChangeDescription
 	return next, nil
 }
 
--- a/io/process/admin/admin.go
+++ b/io/process/admin/admin.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return writeError(w, err)
 	}
-	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, ChangeDescription: stored.Change, Exclusions: stored.Exclusions, InForceEverywhere: true}
+	s := Status{AcceptedVersion: version, Preset: stored.ActivePreset().Name, ChangeDescription: stored.ChangeDescription, Exclusions: stored.Exclusions, InForceEverywhere: true}
 	cluster := h.daemon.ClusterStatus(r.Context())
 	for _, d := range cluster.Daemons {
 		row := DaemonStatus{Name: d.Name, DataCentre: d.DataCentre, Leader: d.Leader == d.Name, ConfigVersion: d.Config}
--- a/io/process/admin/change.go
+++ b/io/process/admin/change.go
@@ -113,17 +113,17 @@
 			return newAcceptedChange(next, stored.Version), nil
 		}
 		return AcceptedChange{}, &Error{Op: "change", Kind: OutcomeUnknown,
-			Err: fmt.Errorf("no response to the write, and the configuration is now at %q (version %d), which may include this change; check the status", latest.Change, stored.Version)}
+			Err: fmt.Errorf("no response to the write, and the configuration is now at %q (version %d), which may include this change; check the status", latest.ChangeDescription, stored.Version)}
 	}
 	return AcceptedChange{}, &Error{Op: "change", Kind: OutcomeUnknown, Err: fmt.Errorf("the change may still take effect; check the status before trying again: %w", cause)}
 }
 
 func newConflictError(s site.Site, version uint64) error {
-	return &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("the change %q was made first (version %d); nothing was changed", s.Change, version)}
+	return &Error{Op: "change", Kind: Conflict, Err: fmt.Errorf("the change %q was made first (version %d); nothing was changed", s.ChangeDescription, version)}
 }
 
 func newAcceptedChange(s site.Site, version uint64) AcceptedChange {
-	return AcceptedChange{Version: version, Description: s.Change, Preset: s.ActivePreset().Name}
+	return AcceptedChange{Version: version, Description: s.ChangeDescription, Preset: s.ActivePreset().Name}
 }
 
 func sleep(ctx context.Context, d time.Duration) {
