--- a/core/connection/names/names.go
+++ b/core/connection/names/names.go
@@ -7,27 +7,35 @@
 //	id := header.Get(n.ID)
 package names
 
-// Names are header names in their canonical form.
+// Names are header names in their canonical form. Daemons set ID, Timeout, Instance, Key and
+// FirstSent in requests to servers, and servers set the other headers in their responses. The
+// comment of a header says if callers see it too.
 type Names struct {
-	// ID identifies a request; servers echo it in their responses.
+	// ID identifies a request; servers echo it in their responses. Callers may send it, and
+	// their replies have it as well.
 	ID string
-	// Timeout is how many milliseconds the sender of the request will wait for the response.
+	// Timeout is how many milliseconds the sender of the request will wait for the response. A
+	// deployment may let callers send it to daemons under the same name.
 	Timeout string
 	// Instance is the server instance that a request is meant for; any other one declines it.
 	Instance string
-	// Signature marks a response that comes from the server itself.
+	// Signature marks a response that comes from the server itself. It stays in the reply that
+	// passes the response on to the caller.
 	Signature string
 	// NotRun marks the response of a server that declined the request.
 	NotRun string
-	// Load holds four numbers: running requests, waiting requests, slots, and the current
-	// service time in percent of the typical one.
+	// Load holds three or four numbers, separated by commas: running requests, waiting requests,
+	// slots, and optionally the current service time in percent of the typical one. It is
+	// removed before a response is passed on to a caller.
 	Load string
-	// Key is the number of the request's key.
+	// Key is the number of the request's key. A deployment may let callers send it to daemons
+	// under the same name.
 	Key string
 	// Handover is the state that a server returns with the release of a range.
 	Handover string
 	// FirstSent is how many milliseconds ago a request that must run at most once was first
-	// sent under its ID. It is empty where servers do not remember IDs.
+	// sent under its ID. Callers may send it too, if they know of an earlier time than the
+	// daemons do. The name is empty where servers do not remember IDs.
 	FirstSent string
 	// OutcomeLost marks the response to a request that must run at most once, but may have run
 	// on an earlier holder of its key that was lost.
