--- a/core/version/grant/call.go
+++ b/core/version/grant/call.go
@@ -15,8 +15,9 @@
 	// address. Refused connections prove nothing: a network partition may refuse them
 	// while the holder is running and others can reach it.
 	Ended
-	// NotSent means that no byte of the call was sent, or that the server states that it did not
-	// carry the call out.
+	// NotSent means that the server did not carry the call out: no byte of the call was sent, or
+	// it was sent and the server declined it. Package mesh has an error kind of the same name
+	// for calls between daemons, which covers only the first case.
 	NotSent
 	// OutcomeUnknown means that the call may have been carried out, or may still be.
 	OutcomeUnknown
--- a/io/connection/mesh/doc.go
+++ b/io/connection/mesh/doc.go
@@ -8,8 +8,8 @@
 //	reply, err := m.Call(ctx, "127.0.0.2:7100", call)
 //	defer m.Close()
 //
-// Errors are of type *Error. The kinds ConnectionRefused and NotSent prove that the
-// call was not written. ConnectionRefused does not prove that the other daemon has ended,
+// Errors are of type *Error. The kinds ConnectionRefused and NotSent prove that no byte of the
+// call was sent. ConnectionRefused does not prove that the other daemon has ended,
 // since a network partition may refuse connections too. OutcomeUnknown means that the call
 // may have arrived.
 package mesh
--- a/io/connection/mesh/error.go
+++ b/io/connection/mesh/error.go
@@ -11,7 +11,7 @@
 // Kinds of errors.
 const (
 	ConnectionRefused Kind = "refused" // the address refused the connection
-	NotSent           Kind = "notSent" // the call was not written
+	NotSent           Kind = "notSent" // no byte of the call was sent, for a reason other than a refused connection
 	OutcomeUnknown    Kind = "unsure"  // the call may have arrived
 	Remote            Kind = "remote"  // the other daemon returned an error, or a reply that cannot be decoded
 	ListenerFailed    Kind = "local"   // the listener could not be opened, or failed
