--- a/cmd/catkinstep/losses.go
+++ b/cmd/catkinstep/losses.go
@@ -63,11 +63,11 @@
 func (c *lossesCmd) print(t *loss.Tally) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, table := range []struct {
-		by    loss.Dimension
-		title string
-		most  int
+		by      loss.Dimension
+		title   string
+		maxRows int
 	}{{loss.ByCause, "CAUSE", c.Most}, {loss.ByRoute, "ROUTE", c.Most}, {loss.ByTime, "TIME", 0}, {loss.ByServer, "SERVER", c.Most}, {loss.ByKeys, "KEYS", c.Most}} {
-		printLosses(w, table.title, t.Rows(table.by), table.most)
+		printLosses(w, table.title, t.Rows(table.by), table.maxRows)
 	}
 	return w.Flush()
 }
--- a/core/request/sent/doc.go
+++ b/core/request/sent/doc.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	h := sent.New(2 * time.Minute)
-//	hash := sent.Hash("workshop", 61012, "order-7")
+//	hash := sent.Hash("workshop", 61012, "booking-7")
 //	firstSentAt, repeated := h.Record(now, hash)
 //	if !repeated { h.Forget(hash) } // if the request certainly did not run
 //	h.RecordAt(now, hash, sentAt)   // if another daemon sent it at sentAt
