--- a/core/connection/names/names.go
+++ b/core/connection/names/names.go
@@ -9,10 +9,10 @@
 
 // Names are header names in their canonical form. Daemons set ID, Timeout, Instance, Key and
 // FirstSent in requests to servers, and servers set the other headers in their responses. The
-// comment of a header says if callers see it too.
+// comment of a header says whether callers send or get it too.
 type Names struct {
 	// ID identifies a request; servers echo it in their responses. Callers may send it, and
-	// their replies have it as well.
+	// replies that pass on a response have it too. A deployment may set it in refusals as well.
 	ID string
 	// Timeout is how many milliseconds the sender of the request will wait for the response. A
 	// deployment may let callers send it to daemons under the same name.
